--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -4,6 +4,7 @@
 mod guests;
 mod meetings;
 mod reports;
+mod takeover_from_stored_state;
 mod world;
 
 use rand::rngs::StdRng;
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -8,6 +8,7 @@
 mod machines;
 mod network;
 mod store;
+mod stored;
 mod users;
 mod worker;
 
