--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -5,7 +5,7 @@
 use crate::Millis;
 use crate::controller::SHARD;
 use crate::election::Phase;
-use crate::ids::Ix;
+use crate::ids::MachineIx;
 use crate::store::{StoreReply, StoreRequest};
 use crate::wire::Transaction;
 use std::sync::Arc;
@@ -112,7 +112,7 @@
         };
         shard.term = self.election.term;
         let doubtful = shard.machines.iter().filter(|(_, machine)| machine.doubt > 0);
-        let doubtful: Vec<Ix> = doubtful.map(|(ix, _)| ix).collect();
+        let doubtful: Vec<MachineIx> = doubtful.map(|(ix, _)| ix).collect();
         shard.to_push.extend(doubtful);
         self.place_wanted = true;
     }
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -2,7 +2,7 @@
 
 use super::{CloudReply, CloudRequest, Controller, Output, Purpose};
 use crate::Millis;
-use crate::fleet::RentalValue;
+use crate::fleet::{Offer, RentalValue};
 use crate::store::{Bucket, StoreRequest};
 use crate::wire::{Change, MachineNames, RentalRequest, Transaction};
 use serde_json::json;
@@ -212,10 +212,12 @@
         if got.len() < value.count as usize
             && let (Some(type_ix), Some(zone)) = (shard.types.get(&value.machine_type), shard.zones.get(&value.zone))
         {
-            shard
-                .fleet
-                .refused
-                .insert((type_ix, zone, value.spot), now + REFUSED_MS);
+            let offer = Offer {
+                type_ix,
+                zone,
+                spot: value.spot,
+            };
+            shard.fleet.refused.insert(offer, now + REFUSED_MS);
         }
         for name in &got {
             if shard.machines.find(name).is_none() && !shard.tombstones.contains_key(name) {
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -3,7 +3,7 @@
 
 use super::{Controller, Output, SHARD, Shard, WorkerReply};
 use crate::Millis;
-use crate::ids::Ix;
+use crate::ids::MachineIx;
 use crate::peers::Message;
 use crate::wire::{Command, DirectCommands};
 use crate::workers::Path;
@@ -136,7 +136,7 @@
     /// Commands for at most so many machines, those with open attempts first: they
     /// hold up work, the others can wait.
     fn due_commands(&mut self, now: Millis, mut room: usize) -> Vec<Due> {
-        let mut machines: Vec<Ix> = self.to_push.iter().copied().collect();
+        let mut machines: Vec<MachineIx> = self.to_push.iter().copied().collect();
         machines.sort_by_key(|&ix| self.machines.get(ix).is_none_or(|machine| machine.open.is_empty()));
         let mut all_due = Vec::new();
         for ix in machines {
@@ -152,7 +152,7 @@
     }
 
     /// What a machine is due now, which then counts as sent.
-    fn due_commands_of(&mut self, now: Millis, ix: Ix) -> Option<Due> {
+    fn due_commands_of(&mut self, now: Millis, ix: MachineIx) -> Option<Due> {
         let Some(machine) = self.machines.get(ix).filter(|machine| !machine.condemned) else {
             self.to_push.remove(&ix);
             return None;
--- a/src/controller/shard.rs
+++ b/src/controller/shard.rs
@@ -1,6 +1,6 @@
 use crate::Millis;
 use crate::fleet::{Fleet, GroupValue, Inventory, Rental, RentalValue};
-use crate::ids::{Ix, Names, Table};
+use crate::ids::{AttemptIx, ChunkId, ClassIx, ImageIx, Index, JobIx, MachineIx, Names, Table, TeamIx, TypeIx, ZoneIx};
 use crate::pipeline::ledger::Ledger;
 use crate::pipeline::{ChunkValue, Job, JobBuilder, chunk_tasks, error_pause};
 use crate::placement::{TeamUse, TypeInfo};
@@ -37,23 +37,23 @@
     pub chunk_tasks: u32,
     pub rental_prefix: String,
 
-    pub team_names: Names,
-    pub types: Names,
-    pub zones: Names,
-    pub images: Names,
-    pub classes: Names,
+    pub team_names: Names<TeamIx>,
+    pub types: Names<TypeIx>,
+    pub zones: Names<ZoneIx>,
+    pub images: Names<ImageIx>,
+    pub classes: Names<ClassIx>,
     pub type_info: Vec<Option<TypeInfo>>,
     pub teams_use: Vec<TeamUse>,
 
-    pub jobs: Table<Job>,
+    pub jobs: Table<JobIx, Job>,
     pub attempts: Attempts,
-    pub machines: Table<Machine>,
+    pub machines: Table<MachineIx, Machine>,
     pub tombstones: BTreeMap<String, Millis>,
     pub ledger: Ledger,
     pub fleet: Fleet,
     pub inventory: Inventory,
     /// Machines that have something new to be told.
-    pub to_push: BTreeSet<Ix>,
+    pub to_push: BTreeSet<MachineIx>,
     /// When preemption was last looked for.
     pub preempted_at: Millis,
     /// Something happened since the last round that placement depends on.
@@ -138,7 +138,7 @@
 
     pub fn set_catalogue(&mut self, catalogue: &Catalogue) {
         for info in &catalogue.types {
-            let ix = self.type_ix(&info.name) as usize;
+            let ix = self.type_ix(&info.name).usize();
             let zones = info.zones.iter().map(|zone| self.zones.intern(zone)).collect();
             self.type_info[ix] = Some(TypeInfo {
                 room: Room {
@@ -156,15 +156,15 @@
         }
     }
 
-    fn type_ix(&mut self, name: &str) -> Ix {
+    fn type_ix(&mut self, name: &str) -> TypeIx {
         let ix = self.types.intern(name);
-        if self.type_info.len() <= ix as usize {
-            self.type_info.resize(ix as usize + 1, None);
+        if self.type_info.len() <= ix.usize() {
+            self.type_info.resize(ix.usize() + 1, None);
         }
         ix
     }
 
-    pub fn add_machine(&mut self, now: Millis, name: &str, type_name: &str, zone: &str, spot: bool) -> Ix {
+    pub fn add_machine(&mut self, now: Millis, name: &str, type_name: &str, zone: &str, spot: bool) -> MachineIx {
         let type_ix = self.type_ix(type_name);
         let zone = self.zones.intern(zone);
         let ix = self.machines.insert(name, Machine::new(name, type_ix, zone, spot, now));
@@ -175,7 +175,7 @@
     /// A machine that only a report speaks of. The report may be a late copy,
     /// from a machine returned long ago, so it counts for nothing until the
     /// cloud lists it or it answers a command.
-    pub fn add_hearsay(&mut self, now: Millis, report: &Report) -> Ix {
+    pub fn add_hearsay(&mut self, now: Millis, report: &Report) -> MachineIx {
         let type_ix = self.type_ix(&report.machine_type);
         let zone = self.zones.intern(&report.zone);
         let machine = Machine::new(&report.machine, type_ix, zone, report.spot, now);
@@ -185,7 +185,7 @@
     }
 
     /// The machine is surely there: a successor must know of it.
-    pub fn enrol(&mut self, ix: Ix) {
+    pub fn enrol(&mut self, ix: MachineIx) {
         let Some(machine) = self.machines.get_mut(ix).filter(|machine| machine.group.is_none()) else {
             return;
         };
@@ -273,7 +273,7 @@
                 withdrawn: false,
             });
             job.open.insert(task, ix);
-            self.teams_use[job.team as usize].used.add(room);
+            self.teams_use[job.team.usize()].used.add(room);
             let (image, gb) = (job.image, job.spec.image_gb);
             if let Some(machine) = self.machines.get_mut(machine_ix) {
                 machine.used.add(room);
@@ -378,11 +378,11 @@
     }
 
     /// A cancelled job: nothing more starts, and what is open has to end.
-    fn stop_all(&mut self, now: Millis, ix: Ix) {
+    fn stop_all(&mut self, now: Millis, ix: JobIx) {
         let Some(job) = self.jobs.get(ix) else {
             return;
         };
-        let open: Vec<Ix> = job.open.values().copied().collect();
+        let open: Vec<AttemptIx> = job.open.values().copied().collect();
         for attempt_ix in open {
             let Some(attempt) = self.attempts.get_mut(attempt_ix) else {
                 continue;
@@ -415,7 +415,7 @@
     }
 
     /// An attempt is proven over: frees what it took and decides what follows.
-    pub fn close(&mut self, now: Millis, ix: Ix, outcome: Outcome) {
+    pub fn close(&mut self, now: Millis, ix: AttemptIx, outcome: Outcome) {
         let Some(attempt) = self.attempts.remove(ix) else {
             return;
         };
@@ -424,7 +424,7 @@
             return;
         };
         let room = job.shape.room;
-        self.teams_use[job.team as usize].used.take(room);
+        self.teams_use[job.team.usize()].used.take(room);
         job.open.remove(&attempt.task);
         if let Some(machine) = self.machines.get_mut(attempt.machine) {
             machine.open.retain(|&other| other != ix);
@@ -477,7 +477,10 @@
         if let Some(chunk) = job.chunks.get_mut(number) {
             chunk.dirty = true;
         }
-        self.ledger.chunks.insert((attempt.job, number as u32));
+        self.ledger.chunks.insert(ChunkId {
+            job: attempt.job,
+            number: number as u32,
+        });
         if job.complete() {
             self.ledger.finished.insert(attempt.job);
         }
--- a/src/fleet/forecast.rs
+++ b/src/fleet/forecast.rs
@@ -3,7 +3,7 @@
 use super::{Demand, UNKNOWN_BOOT_S};
 use crate::Millis;
 use crate::controller::Shard;
-use crate::ids::Ix;
+use crate::ids::{ClassIx, Index, TeamIx};
 use crate::placement::Shape;
 use crate::wire::Priority;
 use std::collections::BTreeMap;
@@ -24,12 +24,29 @@
     pub best_effort: bool,
 }
 
+/// The tasks of one class that one team has, to which the team's limit applies.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ClassOfTeam {
+    class: ClassIx,
+    team: TeamIx,
+}
+
+/// How many tasks of one class a team has.
+#[derive(Clone, Copy, Debug, Default)]
+struct TeamDemand {
+    /// Wanted at once.
+    wanted: f64,
+    /// Worth renting ordinary machines for.
+    lasting: f64,
+    /// Worth renting spot machines for.
+    spot: f64,
+}
+
 impl Shard {
     /// Tasks of each class to be ready for: what waits and runs now, or what
     /// ran on average lately with some headroom, whichever is more.
     pub(super) fn forecast(&mut self, now: Millis) -> Vec<Want> {
-        // Tasks of each class and team: wanted at once, and worth renting for.
-        let mut team_wants: BTreeMap<(Ix, Ix), (f64, f64, f64)> = BTreeMap::new();
+        let mut team_wants: BTreeMap<ClassOfTeam, TeamDemand> = BTreeMap::new();
         for (_, job) in self.jobs.iter().filter(|(_, job)| job.live()) {
             self.fleet.demand.entry(job.class).or_insert_with(|| Demand {
                 shape: job.shape.clone(),
@@ -48,8 +65,13 @@
             let boot_s = self.boot_s(&job.shape);
             let wanted = f64::from(waiting) + job.open.len() as f64;
             let lasting = |part: f64| wanted * job.spec.estimate_s / (job.spec.estimate_s + part * boot_s).max(0.001);
-            let entry = team_wants.entry((job.class, job.team)).or_default();
-            entry.0 += wanted;
+            let entry = team_wants
+                .entry(ClassOfTeam {
+                    class: job.class,
+                    team: job.team,
+                })
+                .or_default();
+            entry.wanted += wanted;
             let part = match job.priority() {
                 Priority::Low => ORDINARY_BOOT_LOW,
                 _ => ORDINARY_BOOT,
@@ -72,27 +94,27 @@
             };
             // It can wait for what others leave, unless nothing else will do.
             if !job.best_effort || !job.shape.spot {
-                entry.1 += lasting(part).min(enough);
+                entry.lasting += lasting(part).min(enough);
             }
-            entry.2 += lasting(SPOT_BOOT);
+            entry.spot += lasting(SPOT_BOOT);
         }
         for demand in self.fleet.demand.values_mut() {
             demand.now = 0.0;
             demand.lasting = 0.0;
             demand.spot = 0.0;
         }
-        for ((class, team), (wanted, lasting, spot)) in team_wants {
+        for (ClassOfTeam { class, team }, team_demand) in team_wants {
             let demand = self.fleet.demand.entry(class).or_default();
             let cpus = demand.shape.room.cpus;
-            let limit = self.teams_use[team as usize].limit.cpus;
+            let limit = self.teams_use[team.usize()].limit.cpus;
             let most = if limit > 0.0 && cpus > 0.0 {
                 (limit / cpus).floor()
             } else {
                 f64::MAX
             };
-            demand.now += wanted.min(most);
-            demand.lasting += lasting.min(most);
-            demand.spot += spot.min(most);
+            demand.now += team_demand.wanted.min(most);
+            demand.lasting += team_demand.lasting.min(most);
+            demand.spot += team_demand.spot.min(most);
         }
         let horizon = crate::millis(self.policy.forecast_s);
         let mut wants = Vec::new();
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -3,7 +3,7 @@
 use super::{Offer, UNKNOWN_BOOT_S};
 use crate::Millis;
 use crate::controller::Shard;
-use crate::ids::Ix;
+use crate::ids::{Index, MachineIx, ZoneIx};
 use crate::workers::{MISSES_TO_GIVE_UP, Machine};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -47,9 +47,16 @@
     }
 }
 
+/// When a machine was last known to be up.
+struct Heard {
+    machine: MachineIx,
+    zone: ZoneIx,
+    at: Millis,
+}
+
 /// What is judged of all machines together.
 struct Overview {
-    silent: BTreeSet<Ix>,
+    silent: BTreeSet<MachineIx>,
     /// When most seem not to be reached, or fail their tasks, all at once, it may be
     /// this controller that is cut off, or the jobs that are at fault, and deleting
     /// live machines is the costliest mistake.
@@ -85,31 +92,37 @@
     /// they are waited for as long as new ones would take.
     fn overview(&mut self, now: Millis) -> Overview {
         let silence_ms = self.silence_ms();
-        let heard: Vec<(Ix, Ix, Millis)> = self
+        let heard: Vec<Heard> = self
             .machines
             .iter()
-            .filter_map(|(ix, machine)| Some((ix, machine.zone, machine.last_sign()?.max(self.hearing_since))))
+            .filter_map(|(ix, machine)| {
+                Some(Heard {
+                    machine: ix,
+                    zone: machine.zone,
+                    at: machine.last_sign()?.max(self.hearing_since),
+                })
+            })
             .collect();
         // Told by half that silence: the first to be given up would else go one by
         // one before the others, which reported a little later, count as silent.
-        let zones = 0..self.zones.len() as Ix;
+        let zones = (0..self.zones.len()).map(ZoneIx::from_usize);
         self.fleet.silent_zones = zones
             .filter(|&zone| {
-                let of_zone = heard.iter().filter(|(_, other, _)| *other == zone);
-                let late = of_zone.clone().filter(|(.., at)| now > at + silence_ms / 2);
+                let of_zone = heard.iter().filter(|heard| heard.zone == zone);
+                let late = of_zone.clone().filter(|heard| now > heard.at + silence_ms / 2);
                 is_most(late.count(), of_zone.count())
             })
             .collect();
-        let silent = heard.iter().filter(|(.., at)| now > at + silence_ms);
+        let silent = heard.iter().filter(|heard| now > heard.at + silence_ms);
         let count = |bad: &dyn Fn(&Machine) -> bool| self.machines.iter().filter(|(_, machine)| bad(machine)).count();
         Overview {
-            silent: silent.map(|(ix, ..)| *ix).collect(),
+            silent: silent.map(|heard| heard.machine).collect(),
             most_unreached: is_most(count(&is_unreached), heard.len()),
             most_sick: is_most(count(&Machine::is_sick), heard.len()),
         }
     }
 
-    fn failure_of(&self, now: Millis, ix: Ix, overview: &Overview) -> Option<Failure> {
+    fn failure_of(&self, now: Millis, ix: MachineIx, overview: &Overview) -> Option<Failure> {
         let machine = self.machines.get(ix)?;
         let boot_s = self.boot_s_of(machine);
         let silence_ms = self.silence_ms();
@@ -141,7 +154,7 @@
     }
 
     fn boot_s_of(&self, machine: &Machine) -> f64 {
-        let info = self.type_info[machine.type_ix as usize].as_ref();
+        let info = self.type_info[machine.type_ix.usize()].as_ref();
         info.map_or(UNKNOWN_BOOT_S, |info| info.boot_s)
     }
 
--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -1,7 +1,7 @@
 //! What a successor must know of the machines: many to a key, since a fleet is
 //! rented far faster than single keys may be written.
 
-use crate::ids::{Ix, Table};
+use crate::ids::{GroupIx, MachineIx, Table};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -19,20 +19,20 @@
     pub name: String,
     /// Version of its key; 0 while there is none.
     pub version: u64,
-    pub members: BTreeSet<Ix>,
+    pub members: BTreeSet<MachineIx>,
 }
 
 #[derive(Debug, Default)]
 pub struct Inventory {
-    pub groups: Table<Group>,
+    pub groups: Table<GroupIx, Group>,
     /// Members a key holds at most.
     capacity: usize,
-    filling: Option<Ix>,
+    filling: Option<GroupIx>,
     next: u32,
     /// Groups with machines that can't be used until they are written.
-    pub urgent: BTreeSet<Ix>,
+    pub urgent: BTreeSet<GroupIx>,
     /// Groups whose key only says too much, or lacks an address.
-    pub late: BTreeSet<Ix>,
+    pub late: BTreeSet<GroupIx>,
 }
 
 impl Inventory {
@@ -45,7 +45,7 @@
     }
 
     /// Puts a machine into a group that has room, under `term`'s own names.
-    pub fn add(&mut self, term: u64, machine: Ix) -> Ix {
+    pub fn add(&mut self, term: u64, machine: MachineIx) -> GroupIx {
         let roomy = self.filling.filter(|&ix| {
             let group = self.groups.get(ix);
             group.is_some_and(|group| group.members.len() < self.capacity)
@@ -64,7 +64,7 @@
     }
 
     /// A group as its key has it, still without members.
-    pub fn load(&mut self, name: &str, version: u64) -> Ix {
+    pub fn load(&mut self, name: &str, version: u64) -> GroupIx {
         let group = Group {
             name: name.into(),
             version,
@@ -73,7 +73,7 @@
         self.groups.insert(name, group)
     }
 
-    pub fn remove(&mut self, group: Ix, machine: Ix) {
+    pub fn remove(&mut self, group: GroupIx, machine: MachineIx) {
         if let Some(members) = self.groups.get_mut(group).map(|group| &mut group.members) {
             members.remove(&machine);
             self.late.insert(group);
@@ -81,7 +81,7 @@
     }
 
     /// Its key is gone: nothing is left of the group.
-    pub fn forget(&mut self, ix: Ix) {
+    pub fn forget(&mut self, ix: GroupIx) {
         if let Some(name) = self.groups.get(ix).map(|group| group.name.clone()) {
             self.groups.remove(&name);
         }
--- a/src/fleet/inventory/tests.rs
+++ b/src/fleet/inventory/tests.rs
@@ -9,6 +9,7 @@
         let mut inventory = Inventory::new(1.0);
         let mut placed = std::collections::BTreeMap::new();
         for (add, machine) in ops {
+            let machine = MachineIx(machine);
             match placed.get(&machine) {
                 None if add => {
                     placed.insert(machine, inventory.add(3, machine));
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::Millis;
 use crate::controller::Shard;
-use crate::ids::Ix;
+use crate::ids::{ClassIx, TypeIx, ZoneIx};
 use crate::placement::Shape;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -39,8 +39,13 @@
     pub not_before: Millis,
 }
 
-/// One way of renting: type, zone, spot or not.
-pub type Offer = (Ix, Ix, bool);
+/// One way of renting a machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Offer {
+    pub type_ix: TypeIx,
+    pub zone: ZoneIx,
+    pub spot: bool,
+}
 
 /// What the jobs of one class ask of machines, and how many at once.
 #[derive(Clone, Debug, Default)]
@@ -64,8 +69,8 @@
     /// Offers refused lately, and until when they are left alone.
     pub refused: BTreeMap<Offer, Millis>,
     /// Zones most of whose machines have fallen silent: most likely cut off.
-    pub silent_zones: BTreeSet<Ix>,
-    pub demand: BTreeMap<Ix, Demand>,
+    pub silent_zones: BTreeSet<ZoneIx>,
+    pub demand: BTreeMap<ClassIx, Demand>,
     pub planned_at: Millis,
     pub listed_at: Millis,
     pub listing: bool,
--- a/src/fleet/provision.rs
+++ b/src/fleet/provision.rs
@@ -5,7 +5,7 @@
 use super::{Offer, RentalValue};
 use crate::Millis;
 use crate::controller::Shard;
-use crate::ids::Ix;
+use crate::ids::{Index, MachineIx, TypeIx};
 use crate::workers::Room;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
 
 /// A machine there is or, without an index, one asked for.
 pub(super) struct Place {
-    machine: Option<Ix>,
+    machine: Option<MachineIx>,
     offer: Offer,
     idle: bool,
     room: Room,
@@ -31,7 +31,7 @@
         if left == 0 {
             break;
         }
-        let (type_ix, zone, spot) = place.offer;
+        let Offer { type_ix, zone, spot } = place.offer;
         if !want.shape.allows(type_ix, zone, spot) {
             continue;
         }
@@ -59,7 +59,7 @@
         let late_offers = self.late_offers(now);
         let mut in_zone = vec![0u32; self.zones.len()];
         for place in &places {
-            in_zone[place.offer.1 as usize] += 1;
+            in_zone[place.offer.zone.usize()] += 1;
         }
         let mut new_machines: BTreeMap<Offer, u32> = BTreeMap::new();
         for want in wants {
@@ -70,7 +70,7 @@
                     break;
                 };
                 *new_machines.entry(offer).or_default() += 1;
-                in_zone[offer.1 as usize] += 1;
+                in_zone[offer.zone.usize()] += 1;
                 left = left.saturating_sub(fits);
             }
         }
@@ -104,7 +104,7 @@
             if leaving || machine.group.is_none() || self.is_late(now, machine) {
                 continue;
             }
-            if let Some(info) = &self.type_info[machine.type_ix as usize] {
+            if let Some(info) = &self.type_info[machine.type_ix.usize()] {
                 places.push(Place {
                     machine: Some(ix),
                     offer: machine.offer(),
@@ -115,7 +115,7 @@
             }
         }
         for (offer, count) in self.asked_for() {
-            if let Some(info) = &self.type_info[offer.0 as usize] {
+            if let Some(info) = &self.type_info[offer.type_ix.usize()] {
                 places.extend((0..count).map(|_| Place {
                     machine: None,
                     offer,
@@ -126,7 +126,7 @@
             }
         }
         places.sort_by(|a, b| {
-            let rest = (a.idle, !a.offer.2).cmp(&(b.idle, !b.offer.2));
+            let rest = (a.idle, !a.offer.spot).cmp(&(b.idle, !b.offer.spot));
             a.room.cpus.total_cmp(&b.room.cpus).then(rest)
         });
         places
@@ -138,7 +138,12 @@
         rentals.chain(&self.ledger.rentals).filter_map(|rental| {
             let type_ix = self.types.get(&rental.machine_type)?;
             let zone = self.zones.get(&rental.zone)?;
-            Some(((type_ix, zone, rental.spot), rental.count))
+            let offer = Offer {
+                type_ix,
+                zone,
+                spot: rental.spot,
+            };
+            Some((offer, rental.count))
         })
     }
 
@@ -173,7 +178,7 @@
             let Some(info) = info else {
                 continue;
             };
-            let type_ix = type_ix as Ix;
+            let type_ix = TypeIx::from_usize(type_ix);
             let fits = info.room.count(want.shape.room);
             if fits == 0 {
                 continue;
@@ -193,12 +198,12 @@
                     if !want.shape.allows(type_ix, zone, spot) {
                         continue;
                     }
-                    let offer = (type_ix, zone, spot);
+                    let offer = Offer { type_ix, zone, spot };
                     if self.fleet.refused.get(&offer).is_some_and(|&until| now < until) {
                         continue;
                     }
                     let cost = price / f64::from(fits.min(left));
-                    let rank = (late_offers.contains(&offer), cost, in_zone[zone as usize]);
+                    let rank = (late_offers.contains(&offer), cost, in_zone[zone.usize()]);
                     if best.is_none_or(|(other, ..)| rank < other) {
                         best = Some((rank, offer, fits));
                     }
@@ -208,7 +213,7 @@
         best.map(|(_, offer, fits)| (offer, fits))
     }
 
-    fn rental(&mut self, (type_ix, zone, spot): Offer, count: u32) {
+    fn rental(&mut self, Offer { type_ix, zone, spot }: Offer, count: u32) {
         // The term is ours alone, so the name was never used before.
         let request = format!("{}-{}-{}", self.name, self.term, self.fleet.next_request);
         self.fleet.next_request += 1;
--- a/src/ids/tests.rs
+++ b/src/ids/tests.rs
@@ -4,7 +4,7 @@
 proptest! {
     #[test]
     fn a_table_agrees_with_a_map(ops in proptest::collection::vec((0u8..12, any::<bool>(), any::<u16>()), 0..200)) {
-        let mut table = Table::default();
+        let mut table = Table::<JobIx, u16>::default();
         let mut model = HashMap::new();
         for (name, insert, value) in ops {
             let name = name.to_string();
--- a/src/pipeline/ledger.rs
+++ b/src/pipeline/ledger.rs
@@ -8,7 +8,7 @@
 use crate::Millis;
 use crate::controller::Shard;
 use crate::fleet::{GroupValue, Member, RentalValue};
-use crate::ids::Ix;
+use crate::ids::{ChunkId, GroupIx, JobIx, MachineIx};
 use crate::store::Keys;
 use crate::wire::{Change, Condition, Standing, Transaction};
 use crate::workers::Outcome;
@@ -24,13 +24,13 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     /// Chunks with attempts that start once they are written.
-    pub starts: BTreeSet<(Ix, u32)>,
+    pub starts: BTreeSet<ChunkId>,
     /// Chunks in which something else has changed.
-    pub chunks: BTreeSet<(Ix, u32)>,
+    pub chunks: BTreeSet<ChunkId>,
     /// Jobs whose last task is done.
-    pub finished: BTreeSet<Ix>,
+    pub finished: BTreeSet<JobIx>,
     /// Ended jobs none of whose attempts is open: their keys can go.
-    pub cleanups: BTreeSet<Ix>,
+    pub cleanups: BTreeSet<JobIx>,
     pub rentals: VecDeque<RentalValue>,
     /// Rental keys answered for: request and version.
     pub settled: VecDeque<(String, u64)>,
@@ -44,11 +44,11 @@
     /// An earlier copy went unanswered and may have been applied.
     pub uncertain: bool,
     pub sent: Millis,
-    chunks: Vec<(Ix, u32)>,
-    finished: Vec<Ix>,
-    cleanups: Vec<(Ix, bool)>,
+    chunks: Vec<ChunkId>,
+    finished: Vec<JobIx>,
+    cleanups: Vec<(JobIx, bool)>,
     /// Inventory groups, and the machines that they name.
-    groups: Vec<(Ix, Vec<String>)>,
+    groups: Vec<(GroupIx, Vec<String>)>,
     rentals: Vec<RentalValue>,
 }
 
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 pub struct Committed {
     /// Machines that have something new to be told.
-    pub push: BTreeSet<Ix>,
+    pub push: BTreeSet<MachineIx>,
     /// Rentals that may now be asked for, with their key's version.
     pub rentals: Vec<(RentalValue, u64)>,
     /// Jobs that are done and answered for.
@@ -75,16 +75,16 @@
 
 impl Ledger {
     /// Nothing of this job is left to write. Its index may be given to another.
-    pub fn forget_job(&mut self, job: Ix) {
-        self.starts.retain(|&(other, _)| other != job);
-        self.chunks.retain(|&(other, _)| other != job);
+    pub fn forget_job(&mut self, job: JobIx) {
+        self.starts.retain(|chunk| chunk.job != job);
+        self.chunks.retain(|chunk| chunk.job != job);
         self.finished.remove(&job);
         self.cleanups.remove(&job);
     }
 
-    fn drafted(&mut self, job: Ix, chunk: u32) {
-        self.starts.remove(&(job, chunk));
-        self.chunks.remove(&(job, chunk));
+    fn drafted(&mut self, chunk: ChunkId) {
+        self.starts.remove(&chunk);
+        self.chunks.remove(&chunk);
     }
 }
 
@@ -151,7 +151,7 @@
         self.draft_cleanups(keys, &mut draft, &mut flight);
         draft.ops = most;
         let chunks = self.ledger.chunks.iter().copied();
-        let chunks = chunks.filter(|&(job, number)| {
+        let chunks = chunks.filter(|&ChunkId { job, number }| {
             let chunk = self.jobs.get(job).and_then(|job| job.chunks.get(number as usize));
             chunk.is_none_or(|chunk| now >= chunk.drafted_at + REWRITE_MS)
         });
@@ -202,7 +202,7 @@
 
     /// Inventory groups: `late` ones as well, or only those that machines wait for.
     fn draft_inventory(&mut self, keys: &Keys, late: bool, draft: &mut Draft, flight: &mut InFlight) {
-        let mut due: BTreeSet<Ix> = self.inventory.urgent.clone();
+        let mut due: BTreeSet<GroupIx> = self.inventory.urgent.clone();
         if late {
             due.extend(&self.inventory.late);
         }
@@ -268,16 +268,17 @@
         }
     }
 
-    fn draft_chunks(&mut self, keys: &Keys, due: BTreeSet<(Ix, u32)>, draft: &mut Draft, flight: &mut InFlight) {
-        for (ix, number) in due {
+    fn draft_chunks(&mut self, keys: &Keys, due: BTreeSet<ChunkId>, draft: &mut Draft, flight: &mut InFlight) {
+        for chunk_id in due {
+            let ChunkId { job: ix, number } = chunk_id;
             let Some(job) = self.jobs.get_mut(ix) else {
-                self.ledger.drafted(ix, number);
+                self.ledger.drafted(chunk_id);
                 continue;
             };
             if job.ended.is_some() || job.complete() {
                 // Its end says all that needs to be said; the chunk only has
                 // to know that nothing is left unwritten.
-                self.ledger.drafted(ix, number);
+                self.ledger.drafted(chunk_id);
                 job.chunks[number as usize].dirty = false;
                 continue;
             }
@@ -301,7 +302,7 @@
             if !draft.room(1, bytes) && !draft.transaction.changes.is_empty() {
                 return;
             }
-            self.ledger.drafted(ix, number);
+            self.ledger.drafted(chunk_id);
             for attempt in job.open.range(range).map(|(_, &attempt)| attempt) {
                 if let Some(attempt) = self.attempts.get_mut(attempt)
                     && (!attempt.written || attempt.withdrawn)
@@ -323,7 +324,7 @@
                 open,
             };
             draft.change(Change::put(key, json!(value)), bytes);
-            flight.chunks.push((ix, number));
+            flight.chunks.push(chunk_id);
         }
     }
 
@@ -370,7 +371,7 @@
         let Some(flight) = self.ledger.in_flight.take() else {
             return result;
         };
-        for (ix, number) in flight.chunks {
+        for ChunkId { job: ix, number } in flight.chunks {
             let Some(job) = self.jobs.get_mut(ix) else {
                 continue;
             };
@@ -445,7 +446,7 @@
     }
 
     /// A group's key is deleted. Machines may have joined it meanwhile.
-    fn group_dropped(&mut self, ix: Ix) {
+    fn group_dropped(&mut self, ix: GroupIx) {
         match self.inventory.groups.get_mut(ix) {
             Some(group) if !group.members.is_empty() => group.version = 0,
             _ => self.inventory.forget(ix),
@@ -458,9 +459,9 @@
         let Some(flight) = self.ledger.in_flight.take() else {
             return;
         };
-        for (ix, number) in flight.chunks {
-            if let Some(job) = self.jobs.get_mut(ix) {
-                let chunk = &mut job.chunks[number as usize];
+        for chunk_id in flight.chunks {
+            if let Some(job) = self.jobs.get_mut(chunk_id.job) {
+                let chunk = &mut job.chunks[chunk_id.number as usize];
                 chunk.writing = false;
                 chunk.dirty = true;
                 for attempt in job.open.values() {
@@ -468,7 +469,7 @@
                         attempt.writing = false;
                     }
                 }
-                self.ledger.starts.insert((ix, number));
+                self.ledger.starts.insert(chunk_id);
             }
         }
         self.ledger.finished.extend(flight.finished);
--- a/src/pipeline/mod.rs
+++ b/src/pipeline/mod.rs
@@ -12,7 +12,7 @@
 pub use trigger::BySet;
 
 use crate::Millis;
-use crate::ids::Ix;
+use crate::ids::{AttemptIx, ClassIx, ImageIx, MachineIx, Names, TeamIx, TypeIx, ZoneIx};
 use crate::placement::Shape;
 use crate::store::JobKey;
 use crate::wire::{JobSpec, Priority, Standing};
@@ -55,11 +55,11 @@
 pub struct Job {
     pub id: String,
     pub spec: JobSpec,
-    pub team: Ix,
-    pub image: Ix,
+    pub team: TeamIx,
+    pub image: ImageIx,
     /// Jobs of one class whose tasks also ask for the same: what demand is
     /// counted by.
-    pub class: Ix,
+    pub class: ClassIx,
     pub shape: Shape,
     pub accepted_ms: u64,
     /// When it should be complete by its class's aim or its deadline, by time of
@@ -77,7 +77,7 @@
     pub chunks: Vec<Chunk>,
     pub done: TaskSet,
     /// Open attempts by task.
-    pub open: BTreeMap<u32, Ix>,
+    pub open: BTreeMap<u32, AttemptIx>,
     /// Tasks from here on were never looked at since this leader began.
     pub fresh: u32,
     /// Tasks to run again, not before the given time.
@@ -89,7 +89,7 @@
     pub short_since: Option<Millis>,
     /// Failures in a row, and the machines they happened on.
     pub errors: u32,
-    pub failed_on: Vec<Ix>,
+    pub failed_on: Vec<MachineIx>,
 }
 
 impl Job {
@@ -220,11 +220,11 @@
 
 /// The shape of a job in indices, or why it can't be taken.
 pub struct JobBuilder<'a> {
-    pub teams: &'a crate::ids::Names,
-    pub types: &'a mut crate::ids::Names,
-    pub zones: &'a mut crate::ids::Names,
-    pub images: &'a mut crate::ids::Names,
-    pub classes: &'a mut crate::ids::Names,
+    pub teams: &'a Names<TeamIx>,
+    pub types: &'a mut Names<TypeIx>,
+    pub zones: &'a mut Names<ZoneIx>,
+    pub images: &'a mut Names<ImageIx>,
+    pub classes: &'a mut Names<ClassIx>,
     /// In which time jobs of a class should be complete.
     pub due: &'a BTreeMap<String, Millis>,
     /// In which time their tasks should be started.
--- a/src/placement/machine_view.rs
+++ b/src/placement/machine_view.rs
@@ -4,7 +4,7 @@
 use super::{FullShapes, Shape};
 use crate::Millis;
 use crate::controller::Shard;
-use crate::ids::Ix;
+use crate::ids::{ImageIx, Index, MachineIx, TypeIx, ZoneIx};
 use crate::pipeline::Job;
 use crate::workers::Room;
 use std::cmp::{Ordering, Reverse};
@@ -12,9 +12,9 @@
 
 #[derive(Debug)]
 struct Slot {
-    machine: Ix,
-    type_ix: Ix,
-    zone: Ix,
+    machine: MachineIx,
+    type_ix: TypeIx,
+    zone: ZoneIx,
     spot: bool,
     type_cpus: f64,
     free: Room,
@@ -45,12 +45,12 @@
 pub struct MachineView {
     slots: Vec<Slot>,
     /// For each image asked for: which slots hold or fetch it.
-    holders: BTreeMap<Ix, Vec<bool>>,
+    holders: BTreeMap<ImageIx, Vec<bool>>,
     /// Shapes for which no slot has room. Room only shrinks within a round.
     full: FullShapes,
     /// For each image: what all slots that hold it are too full for. Until another
     /// slot fetches the image this only grows.
-    full_holders: BTreeMap<Ix, Vec<Shape>>,
+    full_holders: BTreeMap<ImageIx, Vec<Shape>>,
     reserved: usize,
 }
 
@@ -128,7 +128,7 @@
             if !machine.usable(now) {
                 continue;
             }
-            if let Some(info) = &shard.type_info[machine.type_ix as usize] {
+            if let Some(info) = &shard.type_info[machine.type_ix.usize()] {
                 slots.push(Slot {
                     machine: machine_ix,
                     type_ix: machine.type_ix,
@@ -150,7 +150,7 @@
     }
 
     /// Which slots hold or fetch an image, noted once a round.
-    fn note_holders(&mut self, shard: &Shard, image: Ix) {
+    fn note_holders(&mut self, shard: &Shard, image: ImageIx) {
         self.holders.entry(image).or_insert_with(|| {
             let machines = self.slots.iter().map(|slot| shard.machines.get(slot.machine));
             machines
@@ -163,7 +163,7 @@
     fn open_to<'a>(
         &'a self,
         job: &'a Job,
-        zones: &'a Option<Vec<Ix>>,
+        zones: &'a Option<Vec<ZoneIx>>,
     ) -> impl Iterator<Item = (usize, &'a Slot, bool)> {
         let holders = self.holders.get(&job.image).map_or(&[][..], Vec::as_slice);
         let slots = self.slots.iter().zip(holders).enumerate();
@@ -177,7 +177,7 @@
     }
 
     /// Where there is room for one of the job's tasks.
-    pub fn room_for(&mut self, shard: &Shard, job: &Job, zones: &Option<Vec<Ix>>) -> RoomFor {
+    pub fn room_for(&mut self, shard: &Shard, job: &Job, zones: &Option<Vec<ZoneIx>>) -> RoomFor {
         self.note_holders(shard, job.image);
         // What is noted of all holders says nothing of those in some zones only.
         let is_particular = zones.is_some() || !job.failed_on.is_empty();
@@ -214,7 +214,7 @@
     }
 
     /// Ranks the slots that the job may use and that have room for one of its tasks.
-    pub fn rank(&mut self, shard: &Shard, job: &Job, zones: &Option<Vec<Ix>>) -> Ranking {
+    pub fn rank(&mut self, shard: &Shard, job: &Job, zones: &Option<Vec<ZoneIx>>) -> Ranking {
         self.note_holders(shard, job.image);
         let mut ranked = Vec::with_capacity(self.slots.len());
         let mut holder_full = false;
@@ -239,7 +239,7 @@
     }
 
     /// The best slot of a ranking now, after what was placed by it.
-    pub fn best(&self, ranking: &mut Ranking, image: Ix) -> Option<Best> {
+    pub fn best(&self, ranking: &mut Ranking, image: ImageIx) -> Option<Best> {
         let holds = |place: usize| self.holders.get(&image).is_some_and(|holders| holders[place]);
         loop {
             let Reverse(place) = ranking.slots.peek()?.place;
@@ -256,13 +256,13 @@
     }
 
     /// Takes room at a place; gives its machine.
-    pub fn take(&mut self, place: usize, room: Room) -> Ix {
+    pub fn take(&mut self, place: usize, room: Room) -> MachineIx {
         self.slots[place].free.take(room);
         self.slots[place].machine
     }
 
     /// A machine fetches an image from now on.
-    pub fn note_image(&mut self, place: usize, image: Ix) {
+    pub fn note_image(&mut self, place: usize, image: ImageIx) {
         if let Some(holders) = self.holders.get_mut(&image)
             && !std::mem::replace(&mut holders[place], true)
         {
@@ -284,11 +284,11 @@
         }
     }
 
-    pub fn machine_at(&self, place: usize) -> Ix {
+    pub fn machine_at(&self, place: usize) -> MachineIx {
         self.slots[place].machine
     }
 
-    pub fn type_of(&self, place: usize) -> Ix {
+    pub fn type_of(&self, place: usize) -> TypeIx {
         self.slots[place].type_ix
     }
 
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 use crate::controller::shard_with;
+use crate::ids::JobIx;
 use proptest::prelude::*;
 
-fn shard(machines: &[(bool, bool, f64, Option<u32>)]) -> (Shard, Ix) {
+fn shard(machines: &[(bool, bool, f64, Option<u32>)]) -> (Shard, JobIx) {
     let mut shard = shard_with(1, &[("small", 8.0), ("large", 16.0)], 40, true);
     let job = shard.jobs.find("j-1").expect("known");
     let image = shard.jobs.get(job).expect("there").image;
@@ -14,17 +15,17 @@
         machine.heard_at = Some(0);
         machine.used.cpus = used;
         if let Some(other) = holds {
-            machine.touch(image + other, 1.0, 50.0);
+            machine.touch(ImageIx(image.0 + other), 1.0, 50.0);
         }
     }
     (shard, job)
 }
 
 /// Algorithm 1 as the plain scan of all machines states it.
-fn plain_scan(shard: &Shard, job: &Job) -> Option<Ix> {
-    let mut best: Option<((bool, bool, f64, f64), Ix)> = None;
+fn plain_scan(shard: &Shard, job: &Job) -> Option<MachineIx> {
+    let mut best: Option<((bool, bool, f64, f64), MachineIx)> = None;
     for (ix, machine) in shard.machines.iter() {
-        let info = shard.type_info[machine.type_ix as usize].as_ref().expect("known");
+        let info = shard.type_info[machine.type_ix.usize()].as_ref().expect("known");
         let free = info.room.less(machine.used);
         if !machine.usable(0) || !job.shape.allows(machine.type_ix, machine.zone, machine.spot) {
             continue;
@@ -40,7 +41,7 @@
 /// A machine that the job may use holds its image and has no room for its task.
 fn holder_is_full(shard: &Shard, job: &Job) -> bool {
     shard.machines.iter().any(|(_, machine)| {
-        let info = shard.type_info[machine.type_ix as usize].as_ref().expect("known");
+        let info = shard.type_info[machine.type_ix.usize()].as_ref().expect("known");
         let allowed = job.shape.allows(machine.type_ix, machine.zone, machine.spot);
         allowed && machine.holds(job.image) && !info.room.less(machine.used).fits(job.shape.room)
     })
@@ -79,7 +80,7 @@
             let job = shard.jobs.get(job_ix).expect("there");
             let expected = plain_scan(&shard, job);
             let (room, image) = (job.shape.room, job.image);
-            let held = |best: &Ix| shard.machines.get(*best).is_some_and(|machine| machine.holds(image));
+            let held = |best: &MachineIx| shard.machines.get(*best).is_some_and(|machine| machine.holds(image));
             let room_for = match (expected, holder_is_full(&shard, job)) {
                 (None, _) => RoomFor::Nowhere,
                 (Some(best), _) if held(&best) => RoomFor::AtHolder,
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::Millis;
 use crate::controller::Shard;
-use crate::ids::Ix;
+use crate::ids::{ChunkId, Index, JobIx, MachineIx, TypeIx, ZoneIx};
 use crate::pipeline::Job;
 use crate::wire::Priority;
 use crate::workers::{Attempt, Room, split_task};
@@ -26,7 +26,7 @@
     pub price: f64,
     pub spot_price: Option<f64>,
     pub boot_s: f64,
-    pub zones: Vec<Ix>,
+    pub zones: Vec<ZoneIx>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -49,13 +49,13 @@
 pub struct Shape {
     pub room: Room,
     /// `None` for any.
-    pub types: Option<Vec<Ix>>,
-    pub zone: Option<Ix>,
+    pub types: Option<Vec<TypeIx>>,
+    pub zone: Option<ZoneIx>,
     pub spot: bool,
 }
 
 impl Shape {
-    pub fn allows(&self, type_ix: Ix, zone: Ix, spot: bool) -> bool {
+    pub fn allows(&self, type_ix: TypeIx, zone: ZoneIx, spot: bool) -> bool {
         (self.spot || !spot)
             && self.types.as_ref().is_none_or(|types| types.contains(&type_ix))
             && self.zone.is_none_or(|only| only == zone)
@@ -143,7 +143,7 @@
     }
 
     /// Places tasks of one job, up to `most`, until it finds no room.
-    fn place_job(&mut self, ix: Ix, starving: bool, most: usize, round: &mut Round) {
+    fn place_job(&mut self, ix: JobIx, starving: bool, most: usize, round: &mut Round) {
         let mut ranking = None;
         // Whether the ranking leaves out machines that list an earlier attempt of
         // the next task: a start of that one may be on its way there, and does
@@ -161,7 +161,7 @@
             let Some(task) = job.peek(round.now) else {
                 return;
             };
-            let (room, team, image) = (job.shape.room, job.team as usize, job.image);
+            let (room, team, image) = (job.shape.room, job.team.usize(), job.image);
             let is_bound_to_zones = job.is_bound_to_zones();
             let pressing = starving || job.old(self.wall);
             if round.held_teams[team] || !self.teams_use[team].may_add(room) {
@@ -204,7 +204,7 @@
         }
     }
 
-    fn found_no_room(&mut self, ix: Ix, pressing: bool, round: &mut Round) {
+    fn found_no_room(&mut self, ix: JobIx, pressing: bool, round: &mut Round) {
         if let Some(job) = self.jobs.get_mut(ix) {
             job.forgive(round.now);
             // Small tasks would fill for ever what it needs whole.
@@ -215,7 +215,7 @@
     }
 
     /// Whether a machine still lists an earlier attempt of this task.
-    fn lists_earlier(&self, machine: Ix, job: Ix, task: u32) -> bool {
+    fn lists_earlier(&self, machine: MachineIx, job: JobIx, task: u32) -> bool {
         let (Some(machine), Some(job)) = (self.machines.get(machine), self.jobs.get(job)) else {
             return false;
         };
@@ -227,8 +227,8 @@
 
     /// Jobs that fit into their team's guarantee along with the team's earlier
     /// unfinished jobs: these need not wait on other teams.
-    fn guaranteed_jobs(&self) -> BTreeSet<Ix> {
-        let mut by_arrival: Vec<(u64, Ix)> = self
+    fn guaranteed_jobs(&self) -> BTreeSet<JobIx> {
+        let mut by_arrival: Vec<(u64, JobIx)> = self
             .jobs
             .iter()
             .filter(|(_, job)| job.live())
@@ -242,13 +242,13 @@
                 continue;
             };
             let tasks = f64::from(job.spec.tasks - job.done.len());
-            let used = &mut used[job.team as usize];
+            let used = &mut used[job.team.usize()];
             used.add(Room {
                 cpus: job.shape.room.cpus * tasks,
                 gpus: job.shape.room.gpus * tasks,
                 memory_gb: 0.0,
             });
-            let guarantee = self.teams_use[job.team as usize].guarantee;
+            let guarantee = self.teams_use[job.team.usize()].guarantee;
             if used.cpus <= guarantee.cpus + 1e-6 && used.gpus <= guarantee.gpus + 1e-6 {
                 guaranteed.insert(ix);
             }
@@ -257,7 +257,7 @@
     }
 
     /// Live jobs none of whose tasks was placed for long, the oldest first.
-    fn starving_jobs(&self) -> Vec<Ix> {
+    fn starving_jobs(&self) -> Vec<JobIx> {
         let starving = self.jobs.iter().filter(|(_, job)| job.starving(self.wall));
         let mut jobs: Vec<_> = starving.map(|(ix, job)| (job.accepted_ms, ix)).collect();
         jobs.sort_unstable();
@@ -267,7 +267,7 @@
     /// Live jobs with tasks to place: those within their team's guarantee first,
     /// then by priority, then those that can be in time, then the most urgent.
     /// Old jobs rank above all.
-    fn placement_order(&self) -> Vec<Ix> {
+    fn placement_order(&self) -> Vec<JobIx> {
         let guaranteed = self.guaranteed_jobs();
         let mut order: Vec<_> = self
             .jobs
@@ -288,7 +288,7 @@
 
     /// Where the next task of a job goes. `ranking`: made when there is none.
     /// `skipped`: it leaves out machines that only this task can't use.
-    fn choose(&self, ix: Ix, ranking: &mut Option<Ranking>, skipped: bool, round: &mut Round) -> Choice {
+    fn choose(&self, ix: JobIx, ranking: &mut Option<Ranking>, skipped: bool, round: &mut Round) -> Choice {
         let view = &mut round.view;
         let Some(job) = self.jobs.get(ix) else {
             return Choice::NoRoom;
@@ -333,9 +333,9 @@
 
     /// Until when a job's tasks wait for a machine that holds their image, rather than
     /// fetch it on one of the given type.
-    fn waits_until(&self, job: &Job, type_ix: Ix, now: Millis) -> Millis {
+    fn waits_until(&self, job: &Job, type_ix: TypeIx, now: Millis) -> Millis {
         job.waiting_until.unwrap_or_else(|| {
-            let info = self.type_info[type_ix as usize].as_ref();
+            let info = self.type_info[type_ix.usize()].as_ref();
             let fetch_s = info.map_or(0.0, |info| job.spec.image_gb / info.fetch_gb_per_s.max(0.001));
             // Waiting longer than the fetch that it saves gains nothing.
             now + crate::millis(self.policy.locality_wait_s.min(fetch_s))
@@ -344,14 +344,14 @@
 
     /// For a job bound to one zone, or spread over zones: the zones in which
     /// one more of its tasks may run now. `None`: any.
-    fn zones_open_to(&self, job: &Job) -> Option<Vec<Ix>> {
+    fn zones_open_to(&self, job: &Job) -> Option<Vec<ZoneIx>> {
         if !job.is_bound_to_zones() {
             return None;
         }
         let mut counts = vec![0u32; self.zones.len()];
         for attempt in job.open.values().filter_map(|&ix| self.attempts.get(ix)) {
             if let Some(machine) = self.machines.get(attempt.machine) {
-                counts[machine.zone as usize] += 1;
+                counts[machine.zone.usize()] += 1;
             }
         }
         let total: u32 = counts.iter().sum();
@@ -361,10 +361,10 @@
             let spread = !job.spec.spread || counts[zone] < half;
             alone && spread
         });
-        Some(zones.map(|zone| zone as Ix).collect())
+        Some(zones.map(ZoneIx::from_usize).collect())
     }
 
-    pub(crate) fn open_attempt(&mut self, job_ix: Ix, task: u32, machine_ix: Ix) {
+    pub(crate) fn open_attempt(&mut self, job_ix: JobIx, task: u32, machine_ix: MachineIx) {
         let (Some(job), Some(machine)) = (self.jobs.get_mut(job_ix), self.machines.get_mut(machine_ix)) else {
             return;
         };
@@ -394,15 +394,18 @@
             job.waiting_until = None;
         }
         let room = job.shape.room;
-        self.teams_use[job.team as usize].used.add(room);
+        self.teams_use[job.team.usize()].used.add(room);
         machine.used.add(room);
-        let cache_gb = self.type_info[machine.type_ix as usize]
+        let cache_gb = self.type_info[machine.type_ix.usize()]
             .as_ref()
             .map_or(0.0, |info| info.cache_gb);
         machine.touch(job.image, job.spec.image_gb, cache_gb);
         let ix = self.attempts.insert(attempt);
         machine.open.push(ix);
         job.open.insert(task, ix);
-        self.ledger.starts.insert((job_ix, number as u32));
+        self.ledger.starts.insert(ChunkId {
+            job: job_ix,
+            number: number as u32,
+        });
     }
 }
--- a/src/placement/preemption/candidates.rs
+++ b/src/placement/preemption/candidates.rs
@@ -1,6 +1,6 @@
 //! Which tasks to stop where: the choice itself, on a copy of what it needs.
 
-use crate::ids::Ix;
+use crate::ids::{AttemptIx, ImageIx, MachineIx, TypeIx, ZoneIx};
 use crate::pipeline::Job;
 use crate::placement::{FullShapes, Shape};
 use crate::wire::Priority;
@@ -10,7 +10,7 @@
 /// A running task that may be stopped for one of higher priority.
 #[derive(Clone, Debug)]
 pub struct Victim {
-    pub attempt: Ix,
+    pub attempt: AttemptIx,
     pub priority: Priority,
     pub room: Room,
     /// CPU seconds of work lost by stopping it.
@@ -20,11 +20,11 @@
 /// A machine on which tasks may be stopped or are being stopped.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    pub machine: Ix,
-    pub type_ix: Ix,
-    pub zone: Ix,
+    pub machine: MachineIx,
+    pub type_ix: TypeIx,
+    pub zone: ZoneIx,
     pub spot: bool,
-    pub images: Vec<Ix>,
+    pub images: Vec<ImageIx>,
     /// Free now, or as soon as what is being stopped has ended.
     pub free: Room,
     /// The lowest priority first, and of these the smallest loss.
@@ -63,17 +63,17 @@
 pub struct Demand {
     shape: Shape,
     priority: Priority,
-    image: Ix,
-    failed_on: Vec<Ix>,
+    image: ImageIx,
+    failed_on: Vec<MachineIx>,
     /// `None`: any.
-    zones: Option<Vec<Ix>>,
+    zones: Option<Vec<ZoneIx>>,
     one_zone: bool,
     /// Tasks for which no room is found yet.
     pub count: u32,
 }
 
 impl Demand {
-    pub fn new(job: &Job, count: u32, zones: Option<Vec<Ix>>) -> Demand {
+    pub fn new(job: &Job, count: u32, zones: Option<Vec<ZoneIx>>) -> Demand {
         Demand {
             shape: job.shape.clone(),
             priority: job.priority(),
@@ -109,7 +109,7 @@
     }
 
     /// Stops tasks for what is still short, on machines that hold the image first.
-    fn take_victims(&mut self, candidates: &mut [Candidate], most: usize, stops: &mut Vec<Ix>) {
+    fn take_victims(&mut self, candidates: &mut [Candidate], most: usize, stops: &mut Vec<AttemptIx>) {
         for holds_image in [true, false] {
             for candidate in &mut *candidates {
                 if self.count == 0 || stops.len() >= most {
@@ -122,7 +122,7 @@
         }
     }
 
-    fn take_victims_of(&mut self, candidate: &mut Candidate, most: usize, stops: &mut Vec<Ix>) {
+    fn take_victims_of(&mut self, candidate: &mut Candidate, most: usize, stops: &mut Vec<AttemptIx>) {
         while self.count > 0 && stops.len() < most && self.allows(candidate) {
             let Some(needed) = candidate.victims_needed(self.shape.room, self.priority) else {
                 return;
@@ -143,7 +143,7 @@
 
 /// The attempts to stop for these demands, which come in order of placement. No
 /// more are begun once there are `most`.
-pub fn choose_victims(mut candidates: Vec<Candidate>, mut demands: Vec<Demand>, most: usize) -> Vec<Ix> {
+pub fn choose_victims(mut candidates: Vec<Candidate>, mut demands: Vec<Demand>, most: usize) -> Vec<AttemptIx> {
     let mut full = FullShapes::default();
     for demand in &mut demands {
         if full.contains(&demand.shape) {
--- a/src/placement/preemption/candidates/tests.rs
+++ b/src/placement/preemption/candidates/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-const IMAGE: Ix = 7;
+const IMAGE: ImageIx = ImageIx(7);
 
 fn room(cpus: u32) -> Room {
     Room {
@@ -18,15 +18,15 @@
 /// A machine with so many free CPUs and these tasks: CPUs, priority, loss.
 fn machine(free: u32, holds: bool, victims: &[(u32, Priority, u32)]) -> Candidate {
     let victim = |&(cpus, priority, loss): &(u32, Priority, u32)| Victim {
-        attempt: 0,
+        attempt: AttemptIx(0),
         priority,
         room: room(cpus),
         loss: f64::from(loss),
     };
     Candidate {
-        machine: 0,
-        type_ix: 0,
-        zone: 0,
+        machine: MachineIx(0),
+        type_ix: TypeIx(0),
+        zone: ZoneIx(0),
         spot: true,
         images: if holds { vec![IMAGE] } else { Vec::new() },
         free: room(free),
@@ -44,10 +44,10 @@
     proptest::collection::vec(candidate(), 1..12).prop_map(|mut candidates| {
         let mut attempt = 0;
         for (machine, candidate) in candidates.iter_mut().enumerate() {
-            candidate.machine = machine as Ix;
+            candidate.machine = MachineIx(machine as u32);
             candidate.sort_victims();
             for victim in &mut candidate.victims {
-                victim.attempt = attempt;
+                victim.attempt = AttemptIx(attempt);
                 attempt += 1;
             }
         }
@@ -72,7 +72,7 @@
 }
 
 /// What [`choose_victims`] does, one task at a time and remembering nothing.
-fn plain_choice(mut candidates: Vec<Candidate>, wanted: &[(u32, u32)]) -> Vec<Ix> {
+fn plain_choice(mut candidates: Vec<Candidate>, wanted: &[(u32, u32)]) -> Vec<AttemptIx> {
     let mut stops = Vec::new();
     let mut short = Vec::new();
     for &(cpus, count) in wanted {
@@ -136,7 +136,10 @@
 fn nothing_is_stopped_where_room_is_already_coming() {
     let task = (8, Priority::Low, 1);
     let machines = || vec![machine(0, true, &[task, task]), machine(8, true, &[task])];
-    assert_eq!(choose_victims(machines(), vec![demand(8, 1)], 10), Vec::<Ix>::new());
+    assert_eq!(
+        choose_victims(machines(), vec![demand(8, 1)], 10),
+        Vec::<AttemptIx>::new()
+    );
     assert_eq!(choose_victims(machines(), vec![demand(8, 2)], 10).len(), 1);
     assert_eq!(
         choose_victims(machines(), vec![demand(8, 9)], 2).len(),
--- a/src/placement/preemption/mod.rs
+++ b/src/placement/preemption/mod.rs
@@ -11,7 +11,7 @@
 use super::Choice;
 use crate::Millis;
 use crate::controller::Shard;
-use crate::ids::Ix;
+use crate::ids::{AttemptIx, Index, JobIx, MachineIx};
 use crate::pipeline::Job;
 use crate::wire::TaskState;
 use crate::workers::{Attempt, Outcome};
@@ -46,7 +46,7 @@
     }
 
     /// What the jobs that outrank some victim still need, within their teams' limits.
-    fn preemption_demands(&self, short_jobs: &[Ix], candidates: &[Candidate]) -> Vec<Demand> {
+    fn preemption_demands(&self, short_jobs: &[JobIx], candidates: &[Candidate]) -> Vec<Demand> {
         let victims = candidates.iter().flat_map(|candidate| &candidate.victims);
         let lowest = victims.map(|victim| victim.priority).min();
         let short = short_jobs.iter().filter_map(|&ix| self.jobs.get(ix));
@@ -54,7 +54,7 @@
         let mut teams = self.teams_use.clone();
         let mut demands = Vec::new();
         for job in outranking {
-            let team = &mut teams[job.team as usize];
+            let team = &mut teams[job.team.usize()];
             let mut count = 0;
             while count < job.waiting() && team.may_add(job.shape.room) {
                 team.used.add(job.shape.room);
@@ -66,7 +66,7 @@
     }
 
     /// Jobs that have waited for room too long, in the order of placement.
-    fn jobs_short_of_room(&self, now: Millis) -> Vec<Ix> {
+    fn jobs_short_of_room(&self, now: Millis) -> Vec<JobIx> {
         let wait_ms = crate::millis(self.policy.preempt_wait_s);
         let short = |job: &Job| job.short_since.is_some_and(|since| now >= since + wait_ms);
         // Most rounds nobody is short of room, and the order costs a sort.
@@ -78,10 +78,10 @@
     }
 
     /// Machines on which a task could be stopped, or is being stopped.
-    fn preemption_candidates(&self, now: Millis, short_jobs: &[Ix]) -> Vec<Candidate> {
+    fn preemption_candidates(&self, now: Millis, short_jobs: &[JobIx]) -> Vec<Candidate> {
         let short = short_jobs.iter().filter_map(|&ix| self.jobs.get(ix));
         let highest = short.map(Job::priority).max();
-        let mut by_machine: BTreeMap<Ix, Candidate> = BTreeMap::new();
+        let mut by_machine: BTreeMap<MachineIx, Candidate> = BTreeMap::new();
         for (_, job) in self.jobs.iter() {
             let yields = Some(job.priority()) < highest && job.spec.deadline_s.is_none() && job.has_slack(self.wall);
             for &attempt_ix in job.open.values() {
@@ -119,15 +119,15 @@
     fn candidate_at<'a>(
         &self,
         now: Millis,
-        machine_ix: Ix,
-        by_machine: &'a mut BTreeMap<Ix, Candidate>,
+        machine_ix: MachineIx,
+        by_machine: &'a mut BTreeMap<MachineIx, Candidate>,
     ) -> Option<&'a mut Candidate> {
         use std::collections::btree_map::Entry;
         match by_machine.entry(machine_ix) {
             Entry::Occupied(entry) => Some(entry.into_mut()),
             Entry::Vacant(entry) => {
                 let machine = self.machines.get(machine_ix).filter(|machine| machine.usable(now))?;
-                let info = self.type_info[machine.type_ix as usize].as_ref()?;
+                let info = self.type_info[machine.type_ix.usize()].as_ref()?;
                 Some(entry.insert(Candidate {
                     machine: machine_ix,
                     type_ix: machine.type_ix,
@@ -156,7 +156,7 @@
         (lost_s <= self.policy.preempt_lost_s).then_some(lost_s * job.shape.room.cpus)
     }
 
-    fn stop_victim(&mut self, now: Millis, attempt_ix: Ix) {
+    fn stop_victim(&mut self, now: Millis, attempt_ix: AttemptIx) {
         let Some(attempt) = self.attempts.get_mut(attempt_ix) else {
             return;
         };
@@ -173,7 +173,7 @@
     }
 
     /// Notes whether a job is short of room, and since when.
-    pub(super) fn note_short(&mut self, now: Millis, job: Ix, choice: &Choice) {
+    pub(super) fn note_short(&mut self, now: Millis, job: JobIx, choice: &Choice) {
         if let Some(job) = self.jobs.get_mut(job) {
             match choice {
                 Choice::NoRoom => {
--- a/src/placement/preemption/tests.rs
+++ b/src/placement/preemption/tests.rs
@@ -35,7 +35,7 @@
     for task in 0..2 {
         shard.open_attempt(job, task, machine);
     }
-    let attempts: Vec<Ix> = shard.attempts.iter().map(|(ix, _)| ix).collect();
+    let attempts: Vec<AttemptIx> = shard.attempts.iter().map(|(ix, _)| ix).collect();
     for ix in attempts {
         let attempt = shard.attempts.get_mut(ix).expect("there");
         attempt.written = true;
--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -8,7 +8,7 @@
 use super::{Attempt, Machine};
 use crate::Millis;
 use crate::controller::Shard;
-use crate::ids::Ix;
+use crate::ids::JobIx;
 
 /// A machine on which a task failed gets no new tasks for this long, so that a
 /// sick one can't swallow a whole queue.
@@ -66,7 +66,7 @@
     }
 
     /// This job's failures were its own.
-    pub fn clear_machines_of(&mut self, job: Ix) {
+    pub fn clear_machines_of(&mut self, job: JobIx) {
         for (_, machine) in self.machines.iter_mut() {
             machine.failing.retain(|&failing| failing != job);
         }
--- a/src/workers/attribution/tests.rs
+++ b/src/workers/attribution/tests.rs
@@ -1,9 +1,11 @@
 use super::*;
 use crate::controller::shard_with;
+use crate::ids::{Index, MachineIx};
 use crate::store::JobKey;
 use crate::workers::Outcome;
 
 const MACHINES: usize = 6;
+const FIRST_MACHINE: MachineIx = MachineIx(0);
 
 /// Six machines, and six jobs of one task each.
 fn shard() -> Shard {
@@ -27,7 +29,7 @@
     shard
 }
 
-fn fail(shard: &mut Shard, now: Millis, job: Ix, machine: Ix) {
+fn fail(shard: &mut Shard, now: Millis, job: JobIx, machine: MachineIx) {
     shard.open_attempt(job, 0, machine);
     let attempt = *shard.machines.get(machine).expect("there").open.last().expect("one");
     shard.close(now, attempt, Outcome::Error);
@@ -40,8 +42,13 @@
     let mut shard = shard();
     for round in 0..MACHINES {
         for job in shard.jobs.indices() {
-            let machine = (job as usize + round) % MACHINES;
-            fail(&mut shard, round as Millis * 10_000, job, machine as Ix);
+            let machine = (job.usize() + round) % MACHINES;
+            fail(
+                &mut shard,
+                round as Millis * 10_000,
+                job,
+                MachineIx::from_usize(machine),
+            );
         }
         let sick = shard.machines.iter().filter(|(_, machine)| machine.is_sick()).count();
         assert_eq!(sick, 0, "in round {round}");
@@ -55,10 +62,13 @@
     let mut shard = shard();
     let jobs = shard.jobs.indices();
     for (count, &job) in jobs.iter().enumerate().take(FAILING_JOBS) {
-        assert!(!shard.machines.get(0).expect("there").is_sick(), "after {count}");
-        fail(&mut shard, count as Millis * 10_000, job, 0);
+        assert!(
+            !shard.machines.get(FIRST_MACHINE).expect("there").is_sick(),
+            "after {count}"
+        );
+        fail(&mut shard, count as Millis * 10_000, job, FIRST_MACHINE);
     }
-    assert!(shard.machines.get(0).expect("there").is_sick());
+    assert!(shard.machines.get(FIRST_MACHINE).expect("there").is_sick());
     assert!(!shard.jobs.get(jobs[0]).expect("there").fails_everywhere());
 }
 
@@ -68,8 +78,8 @@
     let mut shard = shard();
     let job = shard.jobs.find("j-1").expect("known");
     for _ in 0..8 {
-        fail(&mut shard, 1_000, job, 0);
+        fail(&mut shard, 1_000, job, FIRST_MACHINE);
     }
     assert_eq!(shard.jobs.get(job).expect("there").errors, 1);
-    assert!(shard.machines.get(0).expect("there").rest_until > 1_000);
+    assert!(shard.machines.get(FIRST_MACHINE).expect("there").rest_until > 1_000);
 }
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -1,7 +1,7 @@
 use super::{MISSES_TO_REST, Outcome, command_for, split_task};
 use crate::Millis;
 use crate::controller::Shard;
-use crate::ids::Ix;
+use crate::ids::{AttemptIx, ChunkId, MachineIx};
 use crate::wire::{Command, Report, TaskState, Why};
 
 /// A worker drops a report's answer after 4 s; a command in it is then dead.
@@ -27,7 +27,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Merged {
     /// The newest of its machine.
-    New(Ix),
+    New(MachineIx),
     /// Older than one already merged: its task list means nothing now.
     Old,
     /// Its worker has seen a token above ours: somebody else is the leader.
@@ -149,7 +149,7 @@
     }
 
     /// What a report is answered with, and so what the next one must show.
-    pub fn answer_commands(&mut self, now: Millis, ix: Ix) -> Vec<Command> {
+    pub fn answer_commands(&mut self, now: Millis, ix: MachineIx) -> Vec<Command> {
         let commands = self.commands(now, ix);
         let Some(machine) = self.machines.get_mut(ix) else {
             return commands;
@@ -170,7 +170,7 @@
         commands
     }
 
-    fn see(&mut self, now: Millis, ix: Ix, state: TaskState, why: Option<Why>) {
+    fn see(&mut self, now: Millis, ix: AttemptIx, state: TaskState, why: Option<Why>) {
         if state == TaskState::Exited {
             let outcome = match why {
                 Some(Why::Done) => Outcome::Done,
@@ -190,7 +190,7 @@
     }
 
     /// An open attempt that its machine's newest report does not list.
-    fn missing(&mut self, now: Millis, ix: Ix, report: &Report) {
+    fn missing(&mut self, now: Millis, ix: AttemptIx, report: &Report) {
         let Some(attempt) = self.attempts.get_mut(ix) else {
             return;
         };
@@ -223,7 +223,7 @@
 
     /// This attempt never starts. Its record must go before its room is given to
     /// another; an ended job's records start nothing.
-    fn withdraw_record(&mut self, now: Millis, ix: Ix) {
+    fn withdraw_record(&mut self, now: Millis, ix: AttemptIx) {
         let Some(attempt) = self.attempts.get_mut(ix) else {
             return;
         };
@@ -231,15 +231,18 @@
             None => self.close(now, ix, Outcome::Lost),
             Some(job) if !attempt.withdrawn => {
                 attempt.withdrawn = true;
-                let chunk = job.chunk_of(attempt.task, self.chunk_tasks) as u32;
-                self.ledger.starts.insert((attempt.job, chunk));
+                let number = job.chunk_of(attempt.task, self.chunk_tasks) as u32;
+                self.ledger.starts.insert(ChunkId {
+                    job: attempt.job,
+                    number,
+                });
             }
             Some(_) => {}
         }
     }
 
     /// Everything that a machine should be told now, in order.
-    pub fn commands(&mut self, now: Millis, ix: Ix) -> Vec<Command> {
+    pub fn commands(&mut self, now: Millis, ix: MachineIx) -> Vec<Command> {
         let Some(machine) = self.machines.get(ix) else {
             return Vec::new();
         };
--- a/src/workers/merge/tests.rs
+++ b/src/workers/merge/tests.rs
@@ -7,11 +7,11 @@
 
 /// A shard of term 5 with one machine heard in session 1 and one job of a
 /// single task placed and written there.
-fn shard() -> (Shard, Ix) {
+fn shard() -> (Shard, MachineIx) {
     shard_of(1)
 }
 
-fn shard_of(tasks: u32) -> (Shard, Ix) {
+fn shard_of(tasks: u32) -> (Shard, MachineIx) {
     let mut shard = shard_with(5, &[("small", 8.0)], tasks, false);
     shard.merge_report(0, &report(1, 1, 5, Vec::new()), Path::Answered);
     let machine = shard.machines.find("host-1").expect("known");
@@ -159,7 +159,7 @@
     assert!(shard.commands(10, machine).is_empty());
 }
 
-fn usable(shard: &Shard, machine: Ix, now: Millis) -> bool {
+fn usable(shard: &Shard, machine: MachineIx, now: Millis) -> bool {
     shard.machines.get(machine).expect("there").usable(now)
 }
 
@@ -293,7 +293,7 @@
     let ended = task(TaskState::Exited, Some(Why::Stopped));
     shard.merge_report(10, &stale("host-1", 2, vec![ended]), Path::Sent);
     // Three machines that are long gone fill what it remembers.
-    shard.jobs.get_mut(job).expect("there").failed_on = vec![90, 91, 92];
+    shard.jobs.get_mut(job).expect("there").failed_on = [90, 91, 92].map(MachineIx).to_vec();
     shard.place(20);
     let other = shard.machines.find("host-2").expect("known");
     assert_eq!(shard.machines.get(other).expect("there").open.len(), 1);
@@ -385,7 +385,7 @@
         Path::Sent,
     );
     let job = shard.jobs.find("j-1").expect("known");
-    shard.ledger.chunks.insert((job, 7));
+    shard.ledger.chunks.insert(ChunkId { job, number: 7 });
     shard.ledger.cleanups.insert(job);
     shard.gone.push("j-1".into());
     shard.forget_gone();
@@ -394,7 +394,7 @@
 }
 
 /// One more task of the only job is placed, and fails.
-fn fail_once(shard: &mut Shard, machine: Ix, now: Millis) {
+fn fail_once(shard: &mut Shard, machine: MachineIx, now: Millis) {
     shard.place(now);
     let attempt = shard.machines.get(machine).expect("there").open[0];
     shard.close(now, attempt, Outcome::Error);
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::Millis;
 use crate::fleet::Offer;
-use crate::ids::Ix;
+use crate::ids::{AttemptIx, GroupIx, ImageIx, Index, JobIx, MachineIx, TypeIx, ZoneIx};
 use crate::wire::{Command, TaskReport, TaskState};
 
 /// How an attempt was proven over.
@@ -32,10 +32,10 @@
 
 #[derive(Debug)]
 pub struct Attempt {
-    pub job: Ix,
+    pub job: JobIx,
     pub task: u32,
     pub number: u64,
-    pub machine: Ix,
+    pub machine: MachineIx,
     pub session: u64,
     /// Its firing is known to be in the state service; only then may it start.
     pub written: bool,
@@ -73,11 +73,11 @@
 pub struct Machine {
     pub name: String,
     pub address: Option<String>,
-    pub type_ix: Ix,
-    pub zone: Ix,
+    pub type_ix: TypeIx,
+    pub zone: ZoneIx,
     pub spot: bool,
     /// Its group in the inventory, and whether the group's key names it yet.
-    pub group: Option<Ix>,
+    pub group: Option<GroupIx>,
     pub written: bool,
     pub rented_at: Millis,
     /// In the cloud's list now being read; in any; missing from the last one.
@@ -117,14 +117,14 @@
     /// The peer that relayed its last report.
     pub via: Option<String>,
     /// Images it holds or fetches, the latest last, with their sizes.
-    pub images: Vec<(Ix, f64)>,
-    pub open: Vec<Ix>,
+    pub images: Vec<(ImageIx, f64)>,
+    pub open: Vec<AttemptIx>,
     /// Tasks in its newest report that no open attempt stands for.
     pub strays: Vec<TaskReport>,
     pub used: Room,
     pub idle_since: Millis,
     /// Jobs whose tasks failed here since the last success.
-    pub failing: Vec<Ix>,
+    pub failing: Vec<JobIx>,
     /// Failures since then of jobs that got on elsewhere.
     pub failures: u32,
     pub rest_until: Millis,
@@ -179,7 +179,7 @@
 }
 
 impl Machine {
-    pub fn new(name: &str, type_ix: Ix, zone: Ix, spot: bool, now: Millis) -> Machine {
+    pub fn new(name: &str, type_ix: TypeIx, zone: ZoneIx, spot: bool, now: Millis) -> Machine {
         Machine {
             name: name.into(),
             address: None,
@@ -239,15 +239,19 @@
 
     /// How it is rented.
     pub fn offer(&self) -> Offer {
-        (self.type_ix, self.zone, self.spot)
+        Offer {
+            type_ix: self.type_ix,
+            zone: self.zone,
+            spot: self.spot,
+        }
     }
 
-    pub fn holds(&self, image: Ix) -> bool {
+    pub fn holds(&self, image: ImageIx) -> bool {
         self.images.iter().any(|&(held, _)| held == image)
     }
 
     /// Notes that an image is there, dropping the least recently used ones.
-    pub fn touch(&mut self, image: Ix, gb: f64, cache_gb: f64) {
+    pub fn touch(&mut self, image: ImageIx, gb: f64, cache_gb: f64) {
         self.images.retain(|&(held, _)| held != image);
         self.images.push((image, gb));
         let mut total: f64 = self.images.iter().map(|(_, gb)| gb).sum();
@@ -261,38 +265,38 @@
 #[derive(Debug, Default)]
 pub struct Attempts {
     slots: Vec<Option<Attempt>>,
-    free: Vec<Ix>,
+    free: Vec<AttemptIx>,
 }
 
 impl Attempts {
-    pub fn insert(&mut self, attempt: Attempt) -> Ix {
+    pub fn insert(&mut self, attempt: Attempt) -> AttemptIx {
         let ix = self.free.pop().unwrap_or_else(|| {
             self.slots.push(None);
-            (self.slots.len() - 1) as Ix
+            AttemptIx::from_usize(self.slots.len() - 1)
         });
-        self.slots[ix as usize] = Some(attempt);
+        self.slots[ix.usize()] = Some(attempt);
         ix
     }
 
-    pub fn remove(&mut self, ix: Ix) -> Option<Attempt> {
-        let attempt = self.slots.get_mut(ix as usize)?.take();
+    pub fn remove(&mut self, ix: AttemptIx) -> Option<Attempt> {
+        let attempt = self.slots.get_mut(ix.usize())?.take();
         if attempt.is_some() {
             self.free.push(ix);
         }
         attempt
     }
 
-    pub fn get(&self, ix: Ix) -> Option<&Attempt> {
-        self.slots.get(ix as usize)?.as_ref()
+    pub fn get(&self, ix: AttemptIx) -> Option<&Attempt> {
+        self.slots.get(ix.usize())?.as_ref()
     }
 
-    pub fn get_mut(&mut self, ix: Ix) -> Option<&mut Attempt> {
-        self.slots.get_mut(ix as usize)?.as_mut()
+    pub fn get_mut(&mut self, ix: AttemptIx) -> Option<&mut Attempt> {
+        self.slots.get_mut(ix.usize())?.as_mut()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (Ix, &Attempt)> {
+    pub fn iter(&self) -> impl Iterator<Item = (AttemptIx, &Attempt)> {
         let slots = self.slots.iter().enumerate();
-        slots.filter_map(|(ix, slot)| slot.as_ref().map(|attempt| (ix as Ix, attempt)))
+        slots.filter_map(|(ix, slot)| slot.as_ref().map(|attempt| (AttemptIx::from_usize(ix), attempt)))
     }
 }
 
