--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -8,11 +8,11 @@
 use divan::{AllocProfiler, Bencher, black_box};
 use site::{MACHINES, Site, TERM, peer, report};
 use sumacbend::controller::{Input, Shard};
-use sumacbend::peers::{Ask, Message, ReportReply};
+use sumacbend::peers::{Message, ReportReply, UserRequest};
 use sumacbend::policy::Policy;
 use sumacbend::store::Keys;
 use sumacbend::wire::{Condition, ListedMachine, MachineList, MachineState, Report, ReportAnswer};
-use sumacbend::workers::Path;
+use sumacbend::workers::ReportPath;
 
 #[global_allocator]
 static ALLOCATOR: AllocProfiler = AllocProfiler::system();
@@ -42,7 +42,7 @@
 
 fn relay(first: usize, count: usize, seq: u64) -> Input {
     let reports = (first..first + count).map(|machine| (machine as u64, report(machine % MACHINES, seq)));
-    peer(Message::Relay {
+    peer(Message::RelayReports {
         shard: "pool".into(),
         reports: reports.collect(),
     })
@@ -58,7 +58,7 @@
             tasks: Vec::new(),
             ..report(machine, 1)
         };
-        shard.merge_report(0, &heard, Path::Answered);
+        shard.merge_report(0, &heard, ReportPath::CommandReply);
     }
     for ix in shard.machines.indices() {
         if let Some(machine) = shard.machines.get_mut(ix) {
@@ -146,7 +146,7 @@
         bencher.bench_local(|| {
             site.step(Input::User {
                 request: 1,
-                ask: Ask::Show("j-000007".into()),
+                user_request: UserRequest::Show("j-000007".into()),
             })
         });
     }
@@ -163,7 +163,7 @@
             .bench_local_values(|body| {
                 site.step(Input::User {
                     request: 1,
-                    ask: Ask::Submit(body),
+                    user_request: UserRequest::Submit(body),
                 })
             });
     }
@@ -175,9 +175,14 @@
         bencher
             .with_inputs(|| {
                 number += 1;
-                Ask::Cancel(format!("j-{number:06}"))
+                UserRequest::Cancel(format!("j-{number:06}"))
             })
-            .bench_local_values(|ask| site.step(Input::User { request: 1, ask }));
+            .bench_local_values(|user_request| {
+                site.step(Input::User {
+                    request: 1,
+                    user_request,
+                })
+            });
     }
 
     /// Nothing fits: the machines are full and jobs wait.
@@ -284,26 +289,26 @@
         let body = json_report(1_000);
         bencher.bench_local(|| {
             let reports = (0..BATCH as u64).map(|id| (id, serde_json::from_slice(&body).expect("read")));
-            let message = Message::Relay {
+            let message = Message::RelayReports {
                 shard: "pool".into(),
                 reports: reports.collect(),
             };
             black_box(rmp_serde::to_vec(&message).expect("written"));
             let answer = ReportAnswer {
-                token: TERM,
+                fencing_token: TERM,
                 commands: Vec::new(),
             };
-            let answers = (0..BATCH as u64).map(|id| (id, ReportReply::Taken(answer.clone())));
-            let answers = Message::Relayed {
+            let answers = (0..BATCH as u64).map(|id| (id, ReportReply::Accepted(answer.clone())));
+            let answers = Message::ReportReplies {
                 answers: answers.collect(),
             };
             let frame = rmp_serde::to_vec(&answers).expect("written");
             let message: Message = rmp_serde::from_slice(&frame).expect("read");
-            let Message::Relayed { answers } = message else {
+            let Message::ReportReplies { answers } = message else {
                 unreachable!("as written");
             };
             for (_, reply) in answers {
-                if let ReportReply::Taken(answer) = reply {
+                if let ReportReply::Accepted(answer) = reply {
                     black_box(serde_json::to_string(&answer).expect("written"));
                 }
             }
@@ -316,7 +321,7 @@
         bencher.bench_local(|| {
             site.step(Input::User {
                 request: 1,
-                ask: Ask::Show("j-000007".into()),
+                user_request: UserRequest::Show("j-000007".into()),
             })
         });
     }
@@ -343,6 +348,6 @@
 fn log_line(bencher: Bencher) {
     let subscriber = tracing_subscriber::fmt().with_writer(std::io::sink).finish();
     tracing::subscriber::with_default(subscriber, || {
-        bencher.bench_local(|| tracing::info!(machine = "host-000001", reason = "silent", "giving up a machine"));
+        bencher.bench_local(|| tracing::info!(machine = "host-000001", reason = "silent", "decommissioning a machine"));
     });
 }
--- a/benches/site/mod.rs
+++ b/benches/site/mod.rs
@@ -79,7 +79,7 @@
             task: format!("j-{job:06}/{task}"),
             attempt: u64::from(task) + 1,
             state: TaskState::Running,
-            why: None,
+            exit_reason: None,
         }
     });
     Report {
@@ -88,9 +88,9 @@
         machine_type: "pantry-rack".into(),
         zone: "north".into(),
         spot: true,
-        session: 1,
+        agent_epoch: 1,
         seq,
-        token: TERM,
+        fencing_token: TERM,
         notice_s: None,
         tasks: tasks.collect(),
     }
@@ -188,8 +188,8 @@
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             let now = Now {
-                steady: self.now_ms,
-                wall: 1_700_000_000_000 + self.now_ms,
+                monotonic: self.now_ms,
+                wall_clock: 1_700_000_000_000 + self.now_ms,
             };
             for output in self.controller.step(now, input) {
                 match output {
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -11,10 +11,10 @@
 
 use crate::Millis;
 use crate::memory;
-use crate::peers::{Answer, Ask};
+use crate::peers::{Answer, UserRequest};
 use crate::settings::Limits;
 use crate::store::{JobKey, Keys, StoreReply, WatchCache};
-use crate::wire::{Change, Condition, JobSpec, JobStatus, Standing, Transaction};
+use crate::wire::{Change, Condition, JobSpec, JobState, JobStatus, Transaction};
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -33,7 +33,7 @@
 
 /// Who waits for the answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Asker {
+pub enum Requester {
     User(u64),
     Peer { node: String, id: u64 },
 }
@@ -51,9 +51,9 @@
 }
 
 #[derive(Debug)]
-struct Op {
-    asker: Asker,
-    ask: Ask,
+struct PendingRequest {
+    requester: Requester,
+    user_request: UserRequest,
     id: String,
     /// A valid submission, or the refusal to give if the job isn't known already.
     spec: Option<Result<JobSpec, Refusal>>,
@@ -64,7 +64,7 @@
 /// What admission wants done.
 #[derive(Debug, PartialEq)]
 pub enum Want {
-    Answer(Asker, Answer),
+    Answer(Requester, Answer),
     ReadEnd {
         op: u64,
         key: String,
@@ -76,7 +76,7 @@
     Forward {
         op: u64,
         node: String,
-        ask: Ask,
+        user_request: UserRequest,
     },
     /// A job key was written by us at this revision.
     Learned {
@@ -89,7 +89,7 @@
 /// What an answer depends on beyond admission's own state.
 pub struct AdmissionContext<'a> {
     pub now: Millis,
-    pub wall: Millis,
+    pub wall_clock: Millis,
     pub keys: &'a Keys,
     pub watch_cache: &'a WatchCache,
     pub limits: &'a Limits,
@@ -103,42 +103,48 @@
 
 #[derive(Debug, Default)]
 pub struct Admission {
-    ops: BTreeMap<u64, Op>,
+    ops: BTreeMap<u64, PendingRequest>,
     next_op: u64,
     /// Number of the last confirming read sent, and whether one is in flight.
     sync_sent: u64,
     sync_in_flight: bool,
     sync_wanted: bool,
-    ended: HashMap<String, (Standing, u32)>,
+    ended: HashMap<String, (JobState, u32)>,
     ended_order: VecDeque<String>,
 }
 
 #[derive(Deserialize)]
 struct EndValue {
-    state: Standing,
+    state: JobState,
     #[serde(default)]
     done: u32,
 }
 
 impl Admission {
     /// A question comes in. `forward`: the controller that should answer it.
-    pub fn ask(&mut self, context: &AdmissionContext, asker: Asker, ask: Ask, forward: Option<String>) -> Vec<Want> {
-        let (id, spec) = match &ask {
-            Ask::Submit(body) => match parse(body) {
+    pub fn handle(
+        &mut self,
+        context: &AdmissionContext,
+        requester: Requester,
+        user_request: UserRequest,
+        forward: Option<String>,
+    ) -> Vec<Want> {
+        let (id, spec) = match &user_request {
+            UserRequest::Submit(body) => match parse(body) {
                 Ok(spec) => (spec.id.clone(), Some(Ok(spec))),
                 Err((Some(id), refusal)) => (id, Some(Err(refusal))),
-                Err((None, refusal)) => return vec![Want::Answer(asker, refusal.answer())],
+                Err((None, refusal)) => return vec![Want::Answer(requester, refusal.answer())],
             },
-            Ask::Show(id) | Ask::Cancel(id) => (id.clone(), None),
+            UserRequest::Show(id) | UserRequest::Cancel(id) => (id.clone(), None),
         };
         if !valid_id(&id) {
-            return vec![Want::Answer(asker, text(404, "no such job"))];
+            return vec![Want::Answer(requester, text(404, "no such job"))];
         }
         if let Some(status) = self.final_state(context.watch_cache, &id) {
-            return vec![Want::Answer(asker, status_answer(200, &status))];
+            return vec![Want::Answer(requester, status_answer(200, &status))];
         }
         if self.ops.len() >= MAX_OPS {
-            return vec![Want::Answer(asker, busy("too many requests at once"))];
+            return vec![Want::Answer(requester, busy("too many requests at once"))];
         }
         let op = self.next_op;
         self.next_op += 1;
@@ -148,7 +154,7 @@
                 wants.push(Want::Forward {
                     op,
                     node: node.clone(),
-                    ask: ask.clone(),
+                    user_request: user_request.clone(),
                 });
                 Stage::Forwarded {
                     node,
@@ -160,9 +166,9 @@
         let local = matches!(stage, Stage::Sync(_));
         self.ops.insert(
             op,
-            Op {
-                asker,
-                ask,
+            PendingRequest {
+                requester,
+                user_request,
                 id,
                 spec,
                 stage,
@@ -192,7 +198,7 @@
                 Some(Ok(())) => {
                     let value = JobKey {
                         spec: spec.clone(),
-                        accepted_ms: context.wall,
+                        accepted_ms: context.wall_clock,
                         ended: None,
                     };
                     let mut transaction = Transaction {
@@ -259,12 +265,12 @@
             let key = context.keys.end(&op.id);
             return vec![Want::ReadEnd { op: op_id, key }];
         };
-        if !matches!(op.ask, Ask::Cancel(_)) {
+        if !matches!(op.user_request, UserRequest::Cancel(_)) {
             let counts = (context.counts)(&op.id);
             return self.finish(op_id, status_answer(200, &unfinished(&job.spec.id, counts)));
         }
         let value = JobKey {
-            ended: Some(Standing::Cancelled),
+            ended: Some(JobState::Cancelled),
             ..job.clone()
         };
         let mut transaction = Transaction {
@@ -273,7 +279,7 @@
                 condition(context.keys.end(&op.id), 0),
             ],
             changes: vec![
-                Change::put(context.keys.end(&op.id), json!({"state": Standing::Cancelled})),
+                Change::put(context.keys.end(&op.id), json!({"state": JobState::Cancelled})),
                 Change::put(context.keys.job(&op.id), json!(value)),
             ],
         };
@@ -333,7 +339,7 @@
                     }
                     _ => None,
                 });
-                let cancelled = matches!(op.ask, Ask::Cancel(_));
+                let cancelled = matches!(op.user_request, UserRequest::Cancel(_));
                 let mut wants = Vec::new();
                 if let Some(key) = written {
                     wants.push(Want::Learned {
@@ -343,9 +349,9 @@
                     });
                 }
                 let answer = if cancelled {
-                    status_answer(200, &ended_status(&id, Standing::Cancelled, 0))
+                    status_answer(200, &ended_status(&id, JobState::Cancelled, 0))
                 } else {
-                    status_answer(201, &plain(&id, Standing::Queued))
+                    status_answer(201, &plain(&id, JobState::Queued))
                 };
                 wants.extend(self.finish(op_id, answer));
                 wants
@@ -356,7 +362,7 @@
                 self.sync_wanted = true;
                 Vec::new()
             }
-            StoreReply::Lost if context.now < op.started + WRITE_PATIENCE_MS => {
+            StoreReply::Unanswered if context.now < op.started + WRITE_PATIENCE_MS => {
                 // It may have been applied. The same write again either does it
                 // or conflicts with it, and both tell.
                 let transaction = transaction.clone();
@@ -370,7 +376,7 @@
     /// so knowing more than we do.
     pub fn forwarded(&mut self, op_id: u64, answer: Answer) -> Vec<Want> {
         match self.ops.get(&op_id) {
-            Some(Op {
+            Some(PendingRequest {
                 stage: Stage::Forwarded { .. },
                 ..
             }) => self.finish(op_id, answer),
@@ -386,8 +392,8 @@
             let Some(op) = self.ops.get(&op_id) else {
                 continue;
             };
-            let patience = match op.ask {
-                Ask::Show(_) => SHOW_PATIENCE_MS,
+            let patience = match op.user_request {
+                UserRequest::Show(_) => SHOW_PATIENCE_MS,
                 _ => WRITE_PATIENCE_MS,
             };
             if context.now >= op.started + patience {
@@ -405,12 +411,12 @@
 
     fn finish(&mut self, op_id: u64, answer: Answer) -> Vec<Want> {
         match self.ops.remove(&op_id) {
-            Some(op) => vec![Want::Answer(op.asker, answer)],
+            Some(op) => vec![Want::Answer(op.requester, answer)],
             None => Vec::new(),
         }
     }
 
-    fn remember(&mut self, id: &str, state: Standing, done: u32) {
+    fn remember(&mut self, id: &str, state: JobState, done: u32) {
         if self.ended.insert(id.into(), (state, done)).is_none() {
             self.ended_order.push_back(id.into());
             if self.ended_order.len() > MAX_ENDED
@@ -447,7 +453,7 @@
     Condition { key, version }
 }
 
-fn plain(id: &str, state: Standing) -> JobStatus {
+fn plain(id: &str, state: JobState) -> JobStatus {
     JobStatus {
         id: id.into(),
         state,
@@ -456,10 +462,10 @@
     }
 }
 
-fn ended_status(id: &str, state: Standing, done: u32) -> JobStatus {
+fn ended_status(id: &str, state: JobState, done: u32) -> JobStatus {
     JobStatus {
-        done: (state == Standing::Done).then_some(done),
-        running: (state == Standing::Done).then_some(0),
+        done: (state == JobState::Done).then_some(done),
+        running: (state == JobState::Done).then_some(0),
         ..plain(id, state)
     }
 }
@@ -472,9 +478,9 @@
         ..plain(
             id,
             if running > 0 {
-                Standing::Running
+                JobState::Running
             } else {
-                Standing::Queued
+                JobState::Queued
             },
         )
     }
--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 /// Raising the term costs a fresh start, so not more often than this.
-const RECLAIM_EVERY_MS: Millis = 8_000;
+const RAISE_TERM_EVERY_MS: Millis = 8_000;
 /// A leader that hears nobody, no controller and no worker, for this long
 /// gives the shard up for another to take.
 const ISOLATED_MS: Millis = 4_000;
@@ -22,24 +22,24 @@
             return;
         };
         if self.election.holds_claim() && leader.term > self.election.term {
-            tracing::warn!(by = leader.node, version, "somebody else leads the shard");
-            self.follow(0);
+            tracing::warn!(by = leader.node, version, "another controller leads the shard");
+            self.step_down(0);
         }
     }
 
-    pub(super) fn follow(&mut self, hold_off: Millis) {
-        self.election.step_down(self.now, hold_off);
+    pub(super) fn step_down(&mut self, claim_delay: Millis) {
+        self.election.step_down(self.now, claim_delay);
         self.shard = None;
-        self.reclaim_wanted = false;
-        self.raising = false;
+        self.reload_wanted = false;
+        self.raising_term = false;
         self.cloud.forget();
-        self.pushes.clear();
+        self.deliveries.clear();
         self.calls.retain(|_, (purpose, _)| !is_of_one_term(purpose));
         self.queue.retain(|queued| !is_of_one_term(&queued.purpose));
     }
 
     pub(super) fn granted(&mut self, reply: StoreReply) {
-        if self.election.phase != Phase::Granting {
+        if self.election.phase != Phase::RequestingLease {
             return;
         }
         match reply {
@@ -47,7 +47,7 @@
                 let sent = self.election.asked_at();
                 match self.election.granted(lease, sent, &self.keys, &self.watch_cache) {
                     Some(transaction) => self.send_claim(transaction),
-                    None => self.follow(0),
+                    None => self.step_down(0),
                 }
             }
             _ => self.election.step_down(self.now, 500),
@@ -62,7 +62,7 @@
             StoreReply::Committed { revision } => self.claimed(revision),
             // Perhaps applied: the same again is applied or conflicts, and a
             // conflict is told apart by reading the claim.
-            StoreReply::Lost | StoreReply::Unavailable if self.now < sent + crate::election::LEASE_MS => {
+            StoreReply::Unanswered | StoreReply::Unavailable if self.now < sent + crate::election::LEASE_MS => {
                 let purpose = Purpose::Claim {
                     transaction: transaction.clone(),
                     sent,
@@ -70,20 +70,20 @@
                 self.enqueue_after(RETRY_MS, purpose, StoreRequest::Transact(transaction));
             }
             StoreReply::Conflict { .. } => self.enqueue(Purpose::CheckClaim, StoreRequest::Get(self.keys.leader())),
-            _ => self.follow(500),
+            _ => self.step_down(500),
         }
     }
 
     pub(super) fn claimed(&mut self, version: u64) {
         self.election.claimed(version);
         self.claimed_at = self.now;
-        self.reclaimed_at = self.now;
-        if self.raising && !self.reclaim_wanted {
-            self.raised();
+        self.term_raised_at = self.now;
+        if self.raising_term && !self.reload_wanted {
+            self.term_raised();
             return;
         }
-        self.raising = false;
-        self.reclaim_wanted = false;
+        self.raising_term = false;
+        self.reload_wanted = false;
         self.loading_since = self.now;
         self.load_heard_at = self.now;
         self.worker_heard_at = self.now;
@@ -92,7 +92,7 @@
         self.calls.retain(|_, (purpose, _)| !is_of_one_term(purpose));
         self.queue.retain(|queued| !is_of_one_term(&queued.purpose));
         self.cloud.forget();
-        self.pushes.clear();
+        self.deliveries.clear();
         let mut shard = Shard::new(SHARD, self.election.term, &self.settings, &self.policy);
         if let Some(catalogue) = &self.catalogue {
             shard.set_catalogue(catalogue);
@@ -103,17 +103,20 @@
 
     /// The term rose over the own claim, with nothing of the old one in flight to
     /// the state service: what is known still holds, and only the workers have
-    /// to see the new token.
-    pub(super) fn raised(&mut self) {
-        self.raising = false;
+    /// to see the new fencing token.
+    pub(super) fn term_raised(&mut self) {
+        self.raising_term = false;
         self.election.phase = Phase::Active;
         let Some(shard) = &mut self.shard else {
             return;
         };
         shard.term = self.election.term;
-        let doubtful = shard.machines.iter().filter(|(_, machine)| machine.doubt > 0);
-        let doubtful: Vec<MachineIx> = doubtful.map(|(ix, _)| ix).collect();
-        shard.to_push.extend(doubtful);
+        let unconfirmed = shard
+            .machines
+            .iter()
+            .filter(|(_, machine)| machine.unconfirmed_start_term > 0);
+        let unconfirmed: Vec<MachineIx> = unconfirmed.map(|(ix, _)| ix).collect();
+        shard.delivery_due.extend(unconfirmed);
         self.place_wanted = true;
     }
 
@@ -126,14 +129,14 @@
                 }
             }
             StoreReply::LeaseGone if self.election.holds_claim() => {
-                tracing::warn!("the lease has ended");
-                self.follow(0);
+                tracing::warn!("the lease expired");
+                self.step_down(0);
             }
             _ => self.election.renewal_failed(self.now),
         }
     }
 
-    /// The watch cache holds all that was written before `sent`. After a lapse that is
+    /// The watch cache holds all that was written before `sent`. After an expiry that is
     /// what acting again waits for: a cancellation may have come in the meantime,
     /// and the claim may be another's.
     pub(super) fn watch_cache_read(&mut self, sent: Millis) {
@@ -142,12 +145,13 @@
             return;
         }
         let claim = self.watch_cache.leader.as_ref();
-        let ours = claim
-            .is_some_and(|(leader, version)| self.election.is_mine(leader) && *version == self.election.claim_version);
+        let ours = claim.is_some_and(|(leader, version)| {
+            self.election.is_current_claim(leader) && *version == self.election.claim_version
+        });
         if ours {
             self.election.resume();
         } else {
-            self.follow(0);
+            self.step_down(0);
         }
     }
 
@@ -158,14 +162,14 @@
         match reply {
             StoreReply::Found { value, version } => {
                 let leader = serde_json::from_value(value);
-                if leader.is_ok_and(|leader| self.election.is_mine(&leader)) {
+                if leader.is_ok_and(|leader| self.election.is_current_claim(&leader)) {
                     self.claimed(version);
                 } else {
-                    self.follow(0);
+                    self.step_down(0);
                 }
             }
-            StoreReply::Missing => self.follow(0),
-            _ => self.follow(500),
+            StoreReply::Missing => self.step_down(0),
+            _ => self.step_down(500),
         }
     }
 
@@ -177,8 +181,8 @@
             matches!(request, StoreRequest::Transact(transaction) if transaction.conditions.contains(&condition));
         let lost = present && self.election.holds_claim() && failed.contains(&condition.key);
         if lost {
-            tracing::warn!(term = self.election.term, "the claim is gone");
-            self.follow(0);
+            tracing::warn!(term = self.election.term, "lost the claim");
+            self.step_down(0);
         }
         lost
     }
@@ -191,23 +195,23 @@
     }
 
     /// Starts a new term over the own claim where one is called for.
-    pub(super) fn reclaim(&mut self) -> bool {
+    pub(super) fn raise_term(&mut self) -> bool {
         let Some(shard) = &mut self.shard else {
             return false;
         };
-        let wanted = self.reclaim_wanted || shard.withdraw;
+        let wanted = self.reload_wanted || shard.needs_higher_term;
         // Claiming gives up what the others promised, and can't succeed in an outage.
-        if !wanted || !self.election.lease_valid(self.now) || self.now < self.reclaimed_at + RECLAIM_EVERY_MS {
+        if !wanted || !self.election.lease_valid(self.now) || self.now < self.term_raised_at + RAISE_TERM_EVERY_MS {
             return false;
         }
         // What is in flight depends on the claim as it is.
-        self.raising = true;
-        if !self.reclaim_wanted && shard.ledger.in_flight.is_some() {
+        self.raising_term = true;
+        if !self.reload_wanted && shard.ledger.in_flight.is_some() {
             return false;
         }
-        shard.withdraw = false;
+        shard.needs_higher_term = false;
         tracing::info!(term = self.election.term, "raising the term");
-        let transaction = self.election.reclaim(&self.keys, &self.watch_cache);
+        let transaction = self.election.raise_term(&self.keys, &self.watch_cache);
         self.send_claim(transaction);
         true
     }
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -1,10 +1,10 @@
-//! The leader's calls to the cloud: catalogue, rentals, deletions, lists.
+//! The leader's calls to the cloud: catalogue, machine requests, deletions, lists.
 
 use super::{CloudReply, CloudRequest, Controller, Output, Purpose};
 use crate::Millis;
-use crate::fleet::{Offer, RentalValue};
-use crate::store::{Bucket, StoreRequest};
-use crate::wire::{Change, MachineNames, RentalRequest, Transaction};
+use crate::fleet::{MachineRequestRecord, Offer};
+use crate::store::{StoreRequest, TokenBucket};
+use crate::wire::{Change, MachineNames, MachineRequest, Transaction};
 use serde_json::json;
 use std::collections::BTreeMap;
 
@@ -18,14 +18,14 @@
 #[derive(Debug)]
 enum Call {
     Catalogue,
-    Rental(String),
+    RequestMachines(String),
     Delete(Vec<String>),
     List,
 }
 
 #[derive(Debug)]
 pub struct Calls {
-    rate: Bucket,
+    rate: TokenBucket,
     calls: BTreeMap<u64, Call>,
     catalogue_due: Millis,
     list_after: String,
@@ -34,7 +34,7 @@
 impl Calls {
     pub fn new(rps: f64) -> Calls {
         Calls {
-            rate: Bucket::new(rps),
+            rate: TokenBucket::new(rps),
             calls: BTreeMap::new(),
             catalogue_due: 0,
             list_after: String::new(),
@@ -62,16 +62,19 @@
             self.cloud(Call::Catalogue, CloudRequest::Catalogue);
         }
         while self.cloud.rate.ready(now)
-            && let Some(value) = self.next_rental()
+            && let Some(value) = self.next_machine_request()
         {
-            let request = RentalRequest {
+            let request = MachineRequest {
                 request: value.request.clone(),
                 machine_type: value.machine_type,
                 zone: value.zone,
                 spot: value.spot,
                 count: value.count,
             };
-            self.cloud(Call::Rental(value.request), CloudRequest::Rental(request));
+            self.cloud(
+                Call::RequestMachines(value.request),
+                CloudRequest::RequestMachines(request),
+            );
         }
         let Some(shard) = &mut self.shard else {
             return;
@@ -83,18 +86,18 @@
         }
     }
 
-    /// A written rental that is due, now taken to be in flight.
-    fn next_rental(&mut self) -> Option<RentalValue> {
+    /// A written machine request that is due, now taken to be in flight.
+    fn next_machine_request(&mut self) -> Option<MachineRequestRecord> {
         let now = self.now;
-        let rentals = &mut self.shard.as_mut()?.fleet.rentals;
-        let rental = rentals
+        let machine_requests = &mut self.shard.as_mut()?.fleet.machine_requests;
+        let machine_request = machine_requests
             .iter_mut()
-            .find(|rental| !rental.in_flight && now >= rental.not_before)?;
-        rental.in_flight = true;
-        Some(rental.value.clone())
+            .find(|machine_request| !machine_request.in_flight && now >= machine_request.not_before)?;
+        machine_request.in_flight = true;
+        Some(machine_request.value.clone())
     }
 
-    pub(super) fn delete_condemned(&mut self) {
+    pub(super) fn delete_decommissioned(&mut self) {
         let now = self.now;
         let Some(shard) = &mut self.shard else {
             return;
@@ -104,7 +107,7 @@
         }
         let mut names = Vec::new();
         for (_, machine) in shard.machines.iter() {
-            if machine.condemned && names.len() < MAX_DELETE {
+            if machine.decommissioned && names.len() < MAX_DELETE {
                 names.push(machine.name.clone());
             }
         }
@@ -127,7 +130,7 @@
             (Call::Catalogue, CloudReply::Catalogue(catalogue)) => {
                 let value = json!(catalogue);
                 let stored = self.watch_cache.catalogue.as_ref();
-                if stored.is_none_or(|(stored, _)| *stored != value) && self.election.acting(now) {
+                if stored.is_none_or(|(stored, _)| *stored != value) && self.election.is_acting_leader(now) {
                     // Kept, so that a restart while the cloud is out of reach
                     // can still decide on submissions.
                     let transaction = Transaction {
@@ -139,7 +142,7 @@
                 self.set_catalogue(catalogue);
             }
             (Call::Catalogue, _) => self.cloud.catalogue_due = now + RETRY_MS,
-            (Call::Rental(request), reply) => self.rental_answered(&request, reply),
+            (Call::RequestMachines(request), reply) => self.on_machines_reply(&request, reply),
             (Call::Delete(names), reply) => {
                 let Some(shard) = &mut self.shard else {
                     return;
@@ -174,40 +177,40 @@
         }
     }
 
-    fn rental_answered(&mut self, request: &str, reply: CloudReply) {
+    fn on_machines_reply(&mut self, request: &str, reply: CloudReply) {
         let now = self.now;
         let Some(shard) = &mut self.shard else {
             return;
         };
         let Some(position) = shard
             .fleet
-            .rentals
+            .machine_requests
             .iter()
-            .position(|rental| rental.value.request == request)
+            .position(|machine_request| machine_request.value.request == request)
         else {
             return;
         };
-        let rental = &mut shard.fleet.rentals[position];
+        let machine_request = &mut shard.fleet.machine_requests[position];
         let got = match reply {
-            CloudReply::Rented(names) => names.machines,
+            CloudReply::Provisioned(names) => names.machines,
             CloudReply::NoCapacity | CloudReply::Malformed => Vec::new(),
             _ => {
                 // The very same request again, until it is answered: it may
                 // have been carried out, or may yet be.
-                rental.in_flight = false;
-                rental.not_before = now + RETRY_MS;
+                machine_request.in_flight = false;
+                machine_request.not_before = now + RETRY_MS;
                 return;
             }
         };
-        let rental = shard.fleet.rentals.remove(position);
-        let value = rental.value;
+        let machine_request = shard.fleet.machine_requests.remove(position);
+        let value = machine_request.value;
         tracing::info!(
             machine_type = value.machine_type,
             zone = value.zone,
             spot = value.spot,
             asked = value.count,
             got = got.len(),
-            "rented"
+            "scaled out"
         );
         if got.len() < value.count as usize
             && let (Some(type_ix), Some(zone)) = (shard.types.get(&value.machine_type), shard.zones.get(&value.zone))
@@ -224,6 +227,6 @@
                 shard.add_machine(now, name, &value.machine_type, &value.zone, value.spot);
             }
         }
-        shard.ledger.settled.push_back((value.request, rental.version));
+        shard.ledger.settled.push_back((value.request, machine_request.version));
     }
 }
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -77,7 +77,7 @@
             .shard
             .as_ref()
             .is_some_and(|shard| shard.ledger.in_flight.is_some());
-        if !due || in_flight || self.raising || !self.writes.ready(self.now) || !self.requests.ready(self.now) {
+        if !due || in_flight || self.raising_term || !self.writes.ready(self.now) || !self.requests.ready(self.now) {
             return;
         }
         self.committed_at = self.now;
@@ -96,10 +96,10 @@
         match reply {
             StoreReply::Committed { revision } => self.committed(revision),
             StoreReply::Conflict { failed } => self.commit_conflicted(request, &failed),
-            StoreReply::Lost | StoreReply::Unavailable => self.commit_again(reply == StoreReply::Lost),
+            StoreReply::Unanswered | StoreReply::Unavailable => self.commit_again(reply == StoreReply::Unanswered),
             other => {
-                tracing::error!(?other, "a write was refused");
-                self.reclaim_wanted = true;
+                tracing::error!(?other, "a transaction was refused");
+                self.reload_wanted = true;
             }
         }
     }
@@ -109,9 +109,9 @@
             return;
         };
         let committed = shard.committed(self.now, &self.keys, revision);
-        shard.to_push.extend(committed.push);
-        for (value, version) in committed.rentals {
-            shard.fleet.rentals.push(crate::fleet::Rental {
+        shard.delivery_due.extend(committed.delivery_due);
+        for (value, version) in committed.machine_requests {
+            shard.fleet.machine_requests.push(crate::fleet::PendingMachineRequest {
                 value,
                 version,
                 in_flight: false,
@@ -157,7 +157,7 @@
     /// conflicted. That conflict is for good, since versions only rise: a copy
     /// not carried out by now never will be.
     pub(super) fn commit_checked(&mut self, evidence: Evidence, reply: &StoreReply) {
-        if matches!(reply, StoreReply::Lost | StoreReply::Unavailable) {
+        if matches!(reply, StoreReply::Unanswered | StoreReply::Unavailable) {
             let request = StoreRequest::Get(evidence.key.clone());
             self.enqueue_after(RETRY_MS, Purpose::CheckCommit(evidence), request);
             return;
@@ -174,10 +174,10 @@
         let (jobs, ends) = (self.keys.jobs(), self.keys.ends());
         let by_user = |key: &String| key.starts_with(&jobs) || key.starts_with(&ends);
         if failed.iter().all(by_user) {
-            tracing::debug!(?failed, "a job ended while its tasks were placed");
+            tracing::debug!(?failed, "dropping a transaction of an ended job");
             self.not_applied();
         } else {
-            tracing::warn!(?failed, "a write conflicted");
+            tracing::warn!(?failed, "a transaction conflicted");
             self.read_everything_again();
         }
     }
@@ -192,12 +192,12 @@
 
     /// What is written is not what was thought.
     fn read_everything_again(&mut self) {
-        tracing::warn!("reading everything again");
+        tracing::warn!("reloading the shard");
         if let Some(shard) = &mut self.shard {
             shard.not_applied();
         }
-        self.reclaim_wanted = true;
-        self.reclaimed_at = 0;
+        self.reload_wanted = true;
+        self.term_raised_at = 0;
     }
 }
 
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -3,7 +3,7 @@
 use crate::election::Phase;
 use crate::policy::Policy;
 use crate::settings::{Settings, tests::SAMPLE};
-use crate::wire::Standing;
+use crate::wire::JobState;
 
 const START: Millis = 1_000_000;
 
@@ -26,7 +26,7 @@
     controller.commit();
     controller.send_queued();
     let first = sent(&std::mem::take(&mut controller.outputs), true);
-    step(&mut controller, first, StoreReply::Lost);
+    step(&mut controller, first, StoreReply::Unanswered);
     controller.now += RETRY_MS;
     controller.send_queued();
     let second = sent(&std::mem::take(&mut controller.outputs), true);
@@ -92,7 +92,7 @@
     let value = firing_in_flight(&controller);
     let look = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
     step(&mut controller, look, StoreReply::Found { value, version: 12 });
-    assert!(!in_flight(&controller) && !controller.reclaim_wanted);
+    assert!(!in_flight(&controller) && !controller.reload_wanted);
     assert_eq!(chunk_version(&controller), 12);
     let shard = controller.shard.as_ref().expect("leads");
     assert!(shard.attempts.iter().all(|(_, attempt)| attempt.written));
@@ -103,7 +103,7 @@
     let (mut controller, second) = leader_with_an_unanswered_firing();
     let look = conflict(&mut controller, second, "live/pool/job/j-1");
     step(&mut controller, look, StoreReply::Missing);
-    assert!(!in_flight(&controller) && !controller.reclaim_wanted);
+    assert!(!in_flight(&controller) && !controller.reload_wanted);
     let shard = controller.shard.as_ref().expect("leads");
     assert!(shard.starts_wait());
     assert!(shard.attempts.iter().all(|(_, attempt)| !attempt.written));
@@ -115,26 +115,26 @@
     let look = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
     let value = serde_json::json!({"next": 9, "done": "", "open": []});
     step(&mut controller, look, StoreReply::Found { value, version: 12 });
-    assert!(controller.reclaim_wanted);
+    assert!(controller.reload_wanted);
 }
 
 #[test]
 fn the_look_is_repeated_until_it_is_answered() {
     let (mut controller, second) = leader_with_an_unanswered_firing();
     let look = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
-    step(&mut controller, look, StoreReply::Lost);
+    step(&mut controller, look, StoreReply::Unanswered);
     assert!(in_flight(&controller));
     controller.now += RETRY_MS;
     controller.send_queued();
     let again = sent(&std::mem::take(&mut controller.outputs), false);
     step(&mut controller, again, StoreReply::Missing);
-    assert!(!in_flight(&controller) && !controller.reclaim_wanted);
+    assert!(!in_flight(&controller) && !controller.reload_wanted);
 }
 
 /// A cancelled job's key is changed by others, so it is no evidence.
 #[test]
 fn evidence_is_a_key_of_the_leader_alone() {
-    let put = |key: &str| Change::put(key, serde_json::json!({ "state": Standing::Done }));
+    let put = |key: &str| Change::put(key, serde_json::json!({ "state": JobState::Done }));
     let condition = |key: &str, version| crate::wire::Condition {
         key: key.into(),
         version,
@@ -143,7 +143,7 @@
         conditions: vec![condition("live/job/j-1", 4), condition("kept/hire/r", 6)],
         changes: vec![put("live/job/j-1"), Change::delete("kept/hire/r")],
     };
-    let evidence = Evidence::of(&transaction, "live/job/").expect("the rental");
+    let evidence = Evidence::of(&transaction, "live/job/").expect("the machine_request");
     assert_eq!((evidence.key.as_str(), evidence.before), ("kept/hire/r", 6));
     assert_eq!(evidence.verdict(&StoreReply::Missing), Verdict::Applied { revision: 0 });
     transaction.changes.push(put("kept/end/j-1"));
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -3,16 +3,16 @@
 
 use super::{Controller, Output, SHARD};
 use crate::Millis;
-use crate::admission::{Asker, busy};
+use crate::admission::{Requester, busy};
 use crate::peers::{Answer, Message, ReportReply, WorkerReply};
 use crate::store::JobKey;
-use crate::wire::{DirectCommands, Redirect, Report, Standing};
-use crate::workers::{Merged, Path};
+use crate::wire::{DirectCommands, JobState, Redirect, Report};
+use crate::workers::{Merged, ReportPath};
 
 const RELAY_PATIENCE_MS: Millis = 3_000;
 /// A worker back so soon after being sent on can't use that controller.
-const BACK_SOON_MS: Millis = 25_000;
-const STAY_MS: Millis = 60_000;
+const REDIRECT_FAILED_WITHIN_MS: Millis = 25_000;
+const STAY_AFTER_FAILED_REDIRECT_MS: Millis = 60_000;
 /// How often workers sent on long ago are forgotten.
 const FORGET_REDIRECTED_MS: Millis = 10_000;
 /// How often reports are relayed to the leader and replies returned to it. A frame
@@ -33,41 +33,41 @@
 impl RedirectedWorker {
     /// Whether it still matters that the worker was sent on.
     fn counts(&self, now: Millis) -> bool {
-        now < self.stays_until.max(self.sent_on_at + BACK_SOON_MS)
+        now < self.stays_until.max(self.sent_on_at + REDIRECT_FAILED_WITHIN_MS)
     }
 }
 
 impl Controller {
     pub(super) fn report(&mut self, request: u64, report: Report) {
         if self.election.holds_claim() {
-            let reply = self.own_report(&report);
+            let reply = self.answer_local_report(&report);
             self.answer_worker(request, reply);
             return;
         }
         if self.peers.leader(self.now).is_none() || self.relays.len() >= self.connections.served as usize {
-            self.answer_worker(request, ReportReply::Elsewhere(None));
+            self.answer_worker(request, ReportReply::Redirected(None));
             return;
         }
         self.next_forward += 1;
         let id = self.next_forward;
         self.relays.insert(id, (request, self.now + RELAY_PATIENCE_MS));
-        self.relay_out.push((id, report));
+        self.reports_to_relay.push((id, report));
     }
 
     /// A report that came to the leader itself. Its processor is the scarcest, so
     /// it sends workers on to the others, which relay their reports.
-    fn own_report(&mut self, report: &Report) -> ReportReply {
+    fn answer_local_report(&mut self, report: &Report) -> ReportReply {
         if self.leads()
             && let Some(node) = self.next_peer()
-            && self.sends_on(&report.machine)
+            && self.should_redirect(&report.machine)
         {
-            return match self.take_report(report, Path::Sent) {
-                Some(Merged::New(_) | Merged::Old) => ReportReply::Elsewhere(Some(node)),
-                _ => ReportReply::Elsewhere(None),
+            return match self.merge_worker_report(report, ReportPath::Heartbeat) {
+                Some(Merged::Newest(_) | Merged::Stale) => ReportReply::Redirected(Some(node)),
+                _ => ReportReply::Redirected(None),
             };
         }
         self.answer_report(report, None)
-            .map_or(ReportReply::Elsewhere(None), ReportReply::Taken)
+            .map_or(ReportReply::Redirected(None), ReportReply::Accepted)
     }
 
     fn answer_worker(&mut self, request: u64, reply: ReportReply) {
@@ -85,12 +85,12 @@
 
     /// A worker that comes back soon after it was sent on can't use the
     /// controller it was sent to, and stays for a while.
-    fn sends_on(&mut self, machine: &str) -> bool {
+    fn should_redirect(&mut self, machine: &str) -> bool {
         let now = self.now;
         match self.redirected.get_mut(machine) {
             Some(redirected) if now < redirected.stays_until => false,
-            Some(redirected) if now < redirected.sent_on_at + BACK_SOON_MS => {
-                redirected.stays_until = now + STAY_MS;
+            Some(redirected) if now < redirected.sent_on_at + REDIRECT_FAILED_WITHIN_MS => {
+                redirected.stays_until = now + STAY_AFTER_FAILED_REDIRECT_MS;
                 false
             }
             _ => {
@@ -105,22 +105,22 @@
     }
 
     /// A worker's answer to direct commands, our own or those held for a leader.
-    pub(super) fn worker_answered(&mut self, call: u64, reply: WorkerReply) {
-        match self.held.remove(&call) {
-            Some((node, id)) => self.pushed_out.entry(node).or_default().push((id, reply)),
+    pub(super) fn on_worker_reply(&mut self, call: u64, reply: WorkerReply) {
+        match self.delegated_deliveries.remove(&call) {
+            Some((node, id)) => self.delivery_replies.entry(node).or_default().push((id, reply)),
             None => self.worker_reply(call, reply),
         }
     }
 
-    fn hold(&mut self, node: String, commands: Vec<(u64, String, DirectCommands)>) {
+    fn deliver_for_leader(&mut self, node: String, commands: Vec<(u64, String, DirectCommands)>) {
         for (id, address, commands) in commands {
-            if self.held.len() >= self.connections.in_flight {
-                let refused = (id, WorkerReply::NotSent);
-                self.pushed_out.entry(node.clone()).or_default().push(refused);
+            if self.delegated_deliveries.len() >= self.connections.in_flight {
+                let refused = (id, WorkerReply::NotDelivered);
+                self.delivery_replies.entry(node.clone()).or_default().push(refused);
                 continue;
             }
             let call = self.call();
-            self.held.insert(call, (node.clone(), id));
+            self.delegated_deliveries.insert(call, (node.clone(), id));
             self.outputs.push(Output::Worker {
                 call,
                 address,
@@ -131,8 +131,8 @@
 
     /// Sends on what has come together since the last tick: one frame costs the
     /// leader far less than many.
-    fn flush(&mut self) {
-        let mut reports = std::mem::take(&mut self.relay_out);
+    fn flush_relays(&mut self) {
+        let mut reports = std::mem::take(&mut self.reports_to_relay);
         if !reports.is_empty() {
             match self.peers.leader(self.now).map(str::to_owned) {
                 Some(leader) => {
@@ -140,7 +140,7 @@
                         let rest = reports.split_off(reports.len().min(BATCH));
                         self.outputs.push(Output::Peer {
                             node: leader.clone(),
-                            message: Message::Relay {
+                            message: Message::RelayReports {
                                 shard: SHARD.into(),
                                 reports: std::mem::replace(&mut reports, rest),
                             },
@@ -150,18 +150,18 @@
                 None => {
                     for (id, _) in reports {
                         if let Some((request, _)) = self.relays.remove(&id) {
-                            self.answer_worker(request, ReportReply::Elsewhere(None));
+                            self.answer_worker(request, ReportReply::Redirected(None));
                         }
                     }
                 }
             }
         }
-        for (node, mut replies) in std::mem::take(&mut self.pushed_out) {
+        for (node, mut replies) in std::mem::take(&mut self.delivery_replies) {
             while !replies.is_empty() {
                 let rest = replies.split_off(replies.len().min(BATCH));
                 self.outputs.push(Output::Peer {
                     node: node.clone(),
-                    message: Message::Pushed {
+                    message: Message::CommandReplies {
                         replies: std::mem::replace(&mut replies, rest),
                     },
                 });
@@ -180,12 +180,16 @@
                 let leads_term = leads_term.filter(|_| shard == SHARD);
                 self.peers.heartbeat(self.now, &node, leads_term, store_ok);
             }
-            Message::Forward { shard, id, ask } => {
-                let asker = Asker::Peer { node: node.clone(), id };
+            Message::ForwardRequest {
+                shard,
+                id,
+                user_request,
+            } => {
+                let requester = Requester::Peer { node: node.clone(), id };
                 if shard != SHARD {
                     self.outputs.push(Output::Peer {
                         node,
-                        message: Message::Forwarded {
+                        message: Message::ForwardReply {
                             id,
                             answer: busy("another shard"),
                         },
@@ -193,49 +197,50 @@
                     return;
                 }
                 // Never forwarded twice.
-                let wants = self.with_admission(|admission, context, _| admission.ask(context, asker, ask, None));
-                self.carry_out(wants);
+                let wants = self
+                    .with_admission(|admission, context, _| admission.handle(context, requester, user_request, None));
+                self.apply_effects(wants);
             }
-            Message::Forwarded { id, answer } => {
+            Message::ForwardReply { id, answer } => {
                 if let Some(op) = self.forwards.remove(&id) {
                     let wants = self.admission.forwarded(op, answer);
-                    self.carry_out(wants);
+                    self.apply_effects(wants);
                 }
             }
-            Message::Relay { reports, .. } => {
+            Message::RelayReports { reports, .. } => {
                 let answers = reports
                     .into_iter()
                     .map(|(id, report)| {
                         let answer = self.answer_report(&report, Some(&node));
-                        let reply = answer.map_or(ReportReply::Elsewhere(None), ReportReply::Taken);
+                        let reply = answer.map_or(ReportReply::Redirected(None), ReportReply::Accepted);
                         (id, reply)
                     })
                     .collect();
-                let message = Message::Relayed { answers };
+                let message = Message::ReportReplies { answers };
                 self.outputs.push(Output::Peer { node, message });
             }
-            Message::Relayed { answers } => {
+            Message::ReportReplies { answers } => {
                 for (id, reply) in answers {
                     if let Some((request, _)) = self.relays.remove(&id) {
                         self.answer_worker(request, reply);
                     }
                 }
             }
-            Message::Hold {
+            Message::RequestLeaseExtension {
                 term, asked, revision, ..
-            } => self.asked_to_hold(node, term, asked, revision),
-            Message::Held { term, asked, cancelled } => {
+            } => self.on_extension_request(node, term, asked, revision),
+            Message::GrantLeaseExtension { term, asked, cancelled } => {
                 if term == self.election.term {
-                    self.held(&node, asked, cancelled);
+                    self.on_extension_grant(&node, asked, cancelled);
                 }
             }
-            Message::Push { commands, .. } => self.hold(node, commands),
-            Message::Pushed { replies } => {
+            Message::DeliverCommands { commands, .. } => self.deliver_for_leader(node, commands),
+            Message::CommandReplies { replies } => {
                 for (id, reply) in replies {
                     self.worker_reply(id, reply);
                 }
             }
-            Message::Counts { shard, counts } => {
+            Message::TaskCounts { shard, counts } => {
                 if shard == SHARD {
                     let counts = counts.into_iter().map(|(id, done, running)| (id, (done, running)));
                     self.peers.counts = counts.collect();
@@ -246,23 +251,23 @@
 
     /// The leader can't reach the state service. If nor can we, and we know what
     /// was cancelled, we promise not to claim, and tell it of what it may not know.
-    fn asked_to_hold(&mut self, node: String, term: u64, asked: u64, revision: u64) {
+    fn on_extension_request(&mut self, node: String, term: u64, asked: u64, revision: u64) {
         let out = self.store_failed_at > self.store_ok_at;
         if !out || !self.watch_cache.complete {
             return;
         }
         let newer = self.watch_cache.jobs().values();
-        let newer = newer.filter(|(key, version)| *version > revision && key.ended == Some(Standing::Cancelled));
+        let newer = newer.filter(|(key, version)| *version > revision && key.ended == Some(JobState::Cancelled));
         let cancelled: Vec<_> = newer.take(MAX_CANCELLED + 1).cloned().collect();
-        if cancelled.len() <= MAX_CANCELLED && self.election.promise(self.now) {
-            let message = Message::Held { term, asked, cancelled };
+        if cancelled.len() <= MAX_CANCELLED && self.election.grant_extension(self.now) {
+            let message = Message::GrantLeaseExtension { term, asked, cancelled };
             self.outputs.push(Output::Peer { node, message });
         }
     }
 
     /// What was cancelled through others is stopped before their promise counts.
-    fn held(&mut self, node: &str, asked: Millis, cancelled: Vec<(JobKey, u64)>) {
-        if !self.election.acting(self.now) {
+    fn on_extension_grant(&mut self, node: &str, asked: Millis, cancelled: Vec<(JobKey, u64)>) {
+        if !self.election.is_acting_leader(self.now) {
             return;
         }
         for (key, version) in cancelled {
@@ -273,9 +278,9 @@
                 self.job_changed(&id);
             }
         }
-        self.peers.held(node, asked);
-        if let Some(asked) = self.peers.all_held_at() {
-            self.election.held(self.now, asked);
+        self.peers.extension_granted(node, asked);
+        if let Some(asked) = self.peers.all_granted_at() {
+            self.election.lease_extended(self.now, asked);
         }
     }
 
@@ -289,12 +294,12 @@
             .collect();
         for id in late {
             if let Some((request, _)) = self.relays.remove(&id) {
-                self.answer_worker(request, ReportReply::Elsewhere(None));
+                self.answer_worker(request, ReportReply::Redirected(None));
             }
         }
         if now >= self.relayed_at + RELAY_EVERY_MS {
             self.relayed_at = now;
-            self.flush();
+            self.flush_relays();
         }
         if now >= self.redirected_at + FORGET_REDIRECTED_MS {
             self.redirected_at = now;
@@ -310,9 +315,9 @@
 
 fn report_answer(reply: ReportReply) -> Answer {
     let (status, body) = match reply {
-        ReportReply::Taken(answer) => (200, serde_json::to_string(&answer)),
-        ReportReply::Elsewhere(Some(node)) => (421, serde_json::to_string(&Redirect { report_to: Some(node) })),
-        ReportReply::Elsewhere(None) => (503, Ok("{}".into())),
+        ReportReply::Accepted(answer) => (200, serde_json::to_string(&answer)),
+        ReportReply::Redirected(Some(node)) => (421, serde_json::to_string(&Redirect { report_to: Some(node) })),
+        ReportReply::Redirected(None) => (503, Ok("{}".into())),
     };
     Answer {
         status,
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -6,7 +6,7 @@
 use crate::peers::Message;
 use crate::store::StoreRequest;
 use crate::wire::{Change, Report, ReportAnswer, Transaction};
-use crate::workers::{Merged, Path};
+use crate::workers::{Merged, ReportPath};
 
 const PLACE_EVERY_MS: Millis = 25;
 const PLACE_ANYWAY_MS: Millis = 400;
@@ -15,49 +15,49 @@
 const COUNTS_EVERY_MS: Millis = 1_000;
 /// Jobs whose counts are told, so that the message stays well within a frame.
 const MAX_COUNTS: usize = 20_000;
-const ISOLATED_HOLD_OFF_MS: Millis = 6_000;
+const ISOLATED_CLAIM_DELAY_MS: Millis = 6_000;
 /// After this long without acting (the state service was out, or this process
 /// stood still) the silence of machines counts from now on.
 const UNHEARD_MS: Millis = 1_500;
 
 impl Controller {
     pub(super) fn advance_leader(&mut self) {
-        if !self.election.acting(self.now) || self.shard.is_none() {
+        if !self.election.is_acting_leader(self.now) || self.shard.is_none() {
             self.give_up_loading();
             return;
         }
         if self.is_isolated() {
-            tracing::warn!("hearing no controller and no worker; giving the shard up");
+            tracing::warn!("resigning: no controller and no worker in reach");
             let transaction = Transaction {
                 conditions: vec![self.election.condition(&self.keys)],
                 changes: vec![Change::delete(self.keys.leader())],
             };
-            self.follow(ISOLATED_HOLD_OFF_MS);
+            self.step_down(ISOLATED_CLAIM_DELAY_MS);
             self.enqueue(Purpose::Resign, StoreRequest::Transact(transaction.into()));
             return;
         }
-        if self.reclaim() {
+        if self.raise_term() {
             return;
         }
         let Some(shard) = &mut self.shard else {
             return;
         };
-        shard.wall = self.wall;
+        shard.wall_clock = self.wall_clock;
         if self.now > self.acted_at + UNHEARD_MS {
             shard.hearing_since = self.now;
         }
         self.acted_at = self.now;
         if self.now >= self.maintained_at + MAINTENANCE_EVERY_MS {
             self.maintained_at = self.now;
-            shard.close_lapsed(self.now);
+            shard.close_expired(self.now);
             shard.drain(self.now);
             shard.plan_fleet(self.now);
-            self.give_up_pushes();
-            self.delete_condemned();
+            self.expire_deliveries();
+            self.delete_decommissioned();
         }
         self.place();
         self.commit();
-        self.push_commands();
+        self.deliver_commands();
         self.advance_cloud();
         self.send_counts();
     }
@@ -68,7 +68,7 @@
         let Some(shard) = &mut self.shard else {
             return;
         };
-        self.place_wanted |= std::mem::take(&mut shard.room_changed);
+        self.place_wanted |= std::mem::take(&mut shard.capacity_changed);
         let size = shard.machines.len() + shard.jobs.len();
         let due = if self.place_wanted {
             PLACE_EVERY_MS + size as Millis / 20
@@ -88,51 +88,53 @@
     }
 
     /// Merges a report as the leader. `None`: it was not the leader's to take.
-    pub(super) fn take_report(&mut self, report: &Report, path: Path) -> Option<Merged> {
+    pub(super) fn merge_worker_report(&mut self, report: &Report, path: ReportPath) -> Option<Merged> {
         let now = self.now;
-        if !self.election.acting(now) {
+        if !self.election.is_acting_leader(now) {
             return None;
         }
         let shard = self.shard.as_mut()?;
         let merged = shard.merge_report(now, report, path);
         match merged {
-            Merged::New(ix) => {
+            Merged::Newest(ix) => {
                 self.worker_heard_at = now;
                 let machine = shard.machines.get(ix);
-                if machine.is_some_and(|machine| !machine.strays.is_empty() && machine.push.not_before <= now) {
-                    shard.to_push.insert(ix);
+                if machine
+                    .is_some_and(|machine| !machine.unmatched_tasks.is_empty() && machine.delivery.not_before <= now)
+                {
+                    shard.delivery_due.insert(ix);
                 }
             }
             Merged::Outranked => {
                 // Somebody claimed after us, whatever our lease says.
                 tracing::warn!(
-                    token = report.token,
+                    fencing_token = report.fencing_token,
                     term = self.election.term,
-                    "a worker has seen a higher token"
+                    "stepping down: a worker has seen a higher fencing token"
                 );
-                self.follow(1_000);
+                self.step_down(1_000);
                 self.watch_cache.restart();
             }
-            Merged::Old | Merged::Gone => {}
+            Merged::Stale | Merged::MachineDeleted => {}
         }
         Some(merged)
     }
 
-    /// Answers a worker's report as the leader: the token, and its commands.
-    /// `via`: the peer that relayed it, if one did.
-    pub(super) fn answer_report(&mut self, report: &Report, via: Option<&str>) -> Option<ReportAnswer> {
-        let merged = self.take_report(report, Path::Sent)?;
-        let (now, token) = (self.now, self.election.term);
+    /// Answers a worker's report as the leader: the fencing token, and its commands.
+    /// `relayed_by`: the peer that relayed it, if one did.
+    pub(super) fn answer_report(&mut self, report: &Report, relayed_by: Option<&str>) -> Option<ReportAnswer> {
+        let merged = self.merge_worker_report(report, ReportPath::Heartbeat)?;
+        let (now, fencing_token) = (self.now, self.election.term);
         let shard = self.shard.as_mut()?;
-        if let Merged::New(ix) = merged
+        if let Merged::Newest(ix) = merged
             && let Some(machine) = shard.machines.get_mut(ix)
-            && machine.via.as_deref() != via
+            && machine.relayed_by.as_deref() != relayed_by
         {
-            machine.via = via.map(str::to_owned);
+            machine.relayed_by = relayed_by.map(str::to_owned);
         }
         let commands = match merged {
-            Merged::New(ix) => shard.answer_commands(now, ix),
-            Merged::Old => {
+            Merged::Newest(ix) => shard.answer_commands(now, ix),
+            Merged::Stale => {
                 if let Some(machine) = shard
                     .machines
                     .find(&report.machine)
@@ -142,9 +144,12 @@
                 }
                 Vec::new()
             }
-            Merged::Outranked | Merged::Gone => return None,
+            Merged::Outranked | Merged::MachineDeleted => return None,
         };
-        Some(ReportAnswer { token, commands })
+        Some(ReportAnswer {
+            fencing_token,
+            commands,
+        })
     }
 
     fn send_counts(&mut self) {
@@ -179,7 +184,7 @@
             unseen = shard
                 .attempts
                 .iter()
-                .filter(|(_, attempt)| attempt.seen.is_none())
+                .filter(|(_, attempt)| attempt.observed_state.is_none())
                 .count(),
             machines = shard.machines.len(),
             usable = shard
@@ -197,6 +202,6 @@
             "shard"
         );
         let shard = SHARD.into();
-        self.tell_all(&Message::Counts { shard, counts });
+        self.broadcast(&Message::TaskCounts { shard, counts });
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -21,11 +21,11 @@
 use crate::admission::Admission;
 use crate::election::{LeaderElection, LeaseRequest};
 pub use crate::peers::WorkerReply;
-use crate::peers::{Answer, Ask, Message, Peers};
+use crate::peers::{Answer, Message, Peers, UserRequest};
 use crate::policy::Policy;
 use crate::settings::{Connections, Settings};
-use crate::store::{Bucket, Keys, StoreReply, StoreRequest, WatchCache};
-use crate::wire::{Catalogue, DirectCommands, MachineList, MachineNames, RentalRequest, Report, Transaction};
+use crate::store::{Keys, StoreReply, StoreRequest, TokenBucket, WatchCache};
+use crate::wire::{Catalogue, DirectCommands, MachineList, MachineNames, MachineRequest, Report, Transaction};
 use crate::{Millis, Now};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     Tick,
-    User { request: u64, ask: Ask },
+    User { request: u64, user_request: UserRequest },
     Health { request: u64 },
     Report { request: u64, report: Box<Report> },
     Peer { message: Box<Message>, node: String },
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudRequest {
     Catalogue,
-    Rental(RentalRequest),
+    RequestMachines(MachineRequest),
     Delete(MachineNames),
     List { after: String },
 }
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudReply {
     Catalogue(Catalogue),
-    Rented(MachineNames),
+    Provisioned(MachineNames),
     NoCapacity,
     Deleted,
     Listed(MachineList),
@@ -94,7 +94,7 @@
     /// Not executed.
     Unavailable,
     /// No answer: perhaps executed, perhaps later.
-    Lost,
+    Unanswered,
 }
 
 /// Why a request to the state service was made.
@@ -131,7 +131,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Loading {
     Machines,
-    Rentals,
+    MachineRequests,
     /// The watched keys, up to a revision after the claim.
     WatchCache,
     Firings,
@@ -154,7 +154,7 @@
     policy: Policy,
     keys: Keys,
     now: Millis,
-    wall: Millis,
+    wall_clock: Millis,
     outputs: Vec<Output>,
     next_call: u64,
 
@@ -167,11 +167,11 @@
 
     queue: VecDeque<Queued>,
     calls: BTreeMap<u64, (Purpose, StoreRequest)>,
-    requests: Bucket,
-    writes: Bucket,
+    requests: TokenBucket,
+    writes: TokenBucket,
     /// Kept for what users wait for, so that it never queues behind a large
     /// transaction of the leader.
-    user_writes: Bucket,
+    user_writes: TokenBucket,
     watching: bool,
     watch_not_before: Millis,
     reading: bool,
@@ -183,8 +183,8 @@
 
     cloud: cloud::Calls,
     /// Direct commands in flight.
-    pushes: BTreeMap<u64, direct_commands::DirectCall>,
-    pushed_at: Millis,
+    deliveries: BTreeMap<u64, direct_commands::DirectCall>,
+    delivered_at: Millis,
     next_path: usize,
     claimed_at: Millis,
     worker_heard_at: Millis,
@@ -195,11 +195,11 @@
     place_wanted: bool,
     counts_at: Millis,
     /// What is known may be wrong: claim once more and read it all again.
-    reclaim_wanted: bool,
+    reload_wanted: bool,
     /// The term is about to rise, or rising, while what is known still holds.
-    raising: bool,
+    raising_term: bool,
     committed_at: Millis,
-    reclaimed_at: Millis,
+    term_raised_at: Millis,
     loading_since: Millis,
     /// When the last answer to loading came.
     load_heard_at: Millis,
@@ -208,29 +208,29 @@
     next_forward: u64,
     relays: BTreeMap<u64, (u64, Millis)>,
     /// Reports to relay to the leader, and when that was last done.
-    relay_out: Vec<(u64, Report)>,
+    reports_to_relay: Vec<(u64, Report)>,
     relayed_at: Millis,
     connections: Connections,
     /// Commands taken over from a leader, by our call: who asked, and its id.
-    held: BTreeMap<u64, (String, u64)>,
-    pushed_out: BTreeMap<String, Vec<(u64, WorkerReply)>>,
+    delegated_deliveries: BTreeMap<u64, (String, u64)>,
+    delivery_replies: BTreeMap<String, Vec<(u64, WorkerReply)>>,
     /// Workers that this controller sent on lately, and when old ones were forgotten.
     redirected: BTreeMap<String, follower::RedirectedWorker>,
     redirected_at: Millis,
 }
 
 impl Controller {
-    /// `life` must differ between any two lives of this controller.
-    pub fn new(settings: Settings, policy: Policy, life: u64) -> Controller {
+    /// `incarnation` must differ between any two incarnations of this controller.
+    pub fn new(settings: Settings, policy: Policy, incarnation: u64) -> Controller {
         let nodes = settings.peers.iter().map(|peer| peer.node.clone());
         Controller {
             keys: Keys::new(SHARD),
             now: 0,
-            wall: 0,
+            wall_clock: 0,
             outputs: Vec::new(),
-            // A peer may still answer what a former life of this process asked.
-            next_call: life >> 1,
-            election: LeaderElection::new(&settings.node, life, settings.watch_cache_age_ms()),
+            // A peer may still answer what a former incarnation of this process asked.
+            next_call: incarnation >> 1,
+            election: LeaderElection::new(&settings.node, incarnation, settings.max_watch_cache_age_ms()),
             watch_cache: WatchCache::default(),
             catalogue: None,
             admission: Admission::default(),
@@ -238,9 +238,9 @@
             shard: None,
             queue: VecDeque::new(),
             calls: BTreeMap::new(),
-            requests: Bucket::new(settings.params.state.rps * 0.2),
-            writes: Bucket::new(settings.params.state.write_rps * 0.2),
-            user_writes: Bucket::new(settings.params.state.write_rps * 0.04),
+            requests: TokenBucket::new(settings.params.state.rps * 0.2),
+            writes: TokenBucket::new(settings.params.state.write_rps * 0.2),
+            user_writes: TokenBucket::new(settings.params.state.write_rps * 0.04),
             watching: false,
             watch_not_before: 0,
             reading: false,
@@ -249,8 +249,8 @@
             store_failed_at: None,
             store_asked_at: 0,
             cloud: cloud::Calls::new(settings.params.cloud.rps * 0.7),
-            pushes: BTreeMap::new(),
-            pushed_at: 0,
+            deliveries: BTreeMap::new(),
+            delivered_at: 0,
             next_path: 0,
             claimed_at: 0,
             worker_heard_at: 0,
@@ -259,20 +259,20 @@
             placed_at: 0,
             place_wanted: false,
             counts_at: 0,
-            reclaim_wanted: false,
-            raising: false,
+            reload_wanted: false,
+            raising_term: false,
             committed_at: 0,
-            reclaimed_at: 0,
+            term_raised_at: 0,
             loading_since: 0,
             load_heard_at: 0,
             forwards: BTreeMap::new(),
-            next_forward: life >> 1,
+            next_forward: incarnation >> 1,
             relays: BTreeMap::new(),
-            relay_out: Vec::new(),
+            reports_to_relay: Vec::new(),
             relayed_at: 0,
             connections: settings.connections(),
-            held: BTreeMap::new(),
-            pushed_out: BTreeMap::new(),
+            delegated_deliveries: BTreeMap::new(),
+            delivery_replies: BTreeMap::new(),
             redirected: BTreeMap::new(),
             redirected_at: 0,
             settings,
@@ -281,24 +281,24 @@
     }
 
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Output> {
-        self.now = now.steady;
-        self.wall = now.wall;
+        self.now = now.monotonic;
+        self.wall_clock = now.wall_clock;
         match input {
             Input::Tick => self.tick(),
-            Input::User { request, ask } => self.user(request, ask),
+            Input::User { request, user_request } => self.user(request, user_request),
             Input::Health { request } => self.health(request),
             Input::Report { request, report } => self.report(request, *report),
             Input::Peer { node, message } => self.peer(node, *message),
             Input::Store { call, reply } => self.store_reply(call, reply),
             Input::Cloud { call, reply } => self.cloud_reply(call, reply),
-            Input::Worker { call, reply } => self.worker_answered(call, reply),
+            Input::Worker { call, reply } => self.on_worker_reply(call, reply),
         }
         self.advance();
         std::mem::take(&mut self.outputs)
     }
 
     pub fn leads(&self) -> bool {
-        self.election.acting(self.now)
+        self.election.is_acting_leader(self.now)
     }
 
     fn call(&mut self) -> u64 {
@@ -319,13 +319,13 @@
                 leads_term: self.leads().then_some(self.election.term),
                 store_ok: self.store_ok(),
             };
-            self.tell_all(&message);
+            self.broadcast(&message);
         }
-        self.ask_to_hold();
+        self.request_lease_extension();
         let wants = self.with_admission(|admission, context, peers| {
             admission.tick(context, &|node| peers.in_reach(context.now, node))
         });
-        self.carry_out(wants);
+        self.apply_effects(wants);
         self.follower_tick();
     }
 
@@ -356,20 +356,20 @@
 
     /// Where the state service can't be reached, the others may promise not to
     /// claim meanwhile.
-    fn ask_to_hold(&mut self) {
-        if !self.election.asks_to_hold(self.now) {
+    fn request_lease_extension(&mut self) {
+        if !self.election.wants_lease_extension(self.now) {
             return;
         }
-        let message = Message::Hold {
+        let message = Message::RequestLeaseExtension {
             shard: SHARD.into(),
             term: self.election.term,
             asked: self.now,
             revision: self.watch_cache.revision,
         };
-        self.tell_all(&message);
+        self.broadcast(&message);
     }
 
-    fn tell_all(&mut self, message: &Message) {
+    fn broadcast(&mut self, message: &Message) {
         for node in self.peers.names() {
             let message = message.clone();
             self.outputs.push(Output::Peer { node, message });
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -1,8 +1,8 @@
 //! Users' requests and health checks: admitted here, or forwarded to the leader.
 
 use super::{Controller, Output, Purpose, SHARD};
-use crate::admission::{Admission, AdmissionContext, Asker, Want};
-use crate::peers::{Ask, Message, Peers};
+use crate::admission::{Admission, AdmissionContext, Requester, Want};
+use crate::peers::{Message, Peers, UserRequest};
 use crate::store::StoreRequest;
 use crate::wire::JobSpec;
 
@@ -10,7 +10,7 @@
     pub(super) fn with_admission<T>(&mut self, act: impl FnOnce(&mut Admission, &AdmissionContext, &Peers) -> T) -> T {
         let claim = self
             .election
-            .acting(self.now)
+            .is_acting_leader(self.now)
             .then(|| self.election.condition(&self.keys));
         let (catalogue, teams) = (&self.catalogue, &self.settings.params.teams);
         let refuse = |spec: &JobSpec| {
@@ -25,7 +25,7 @@
         };
         let context = AdmissionContext {
             now: self.now,
-            wall: self.wall,
+            wall_clock: self.wall_clock,
             keys: &self.keys,
             limits: &self.settings.params.limits,
             watch_cache: &self.watch_cache,
@@ -36,28 +36,28 @@
         act(&mut self.admission, &context, &self.peers)
     }
 
-    pub(super) fn carry_out(&mut self, wants: Vec<Want>) {
+    pub(super) fn apply_effects(&mut self, wants: Vec<Want>) {
         for want in wants {
             match want {
-                Want::Answer(Asker::User(request), answer) => self.outputs.push(Output::Answer { request, answer }),
-                Want::Answer(Asker::Peer { node, id }, answer) => self.outputs.push(Output::Peer {
+                Want::Answer(Requester::User(request), answer) => self.outputs.push(Output::Answer { request, answer }),
+                Want::Answer(Requester::Peer { node, id }, answer) => self.outputs.push(Output::Peer {
                     node,
-                    message: Message::Forwarded { id, answer },
+                    message: Message::ForwardReply { id, answer },
                 }),
                 Want::ReadEnd { op, key } => self.enqueue(Purpose::ReadEnd(op), StoreRequest::Get(key)),
                 Want::Write { op, transaction } => {
                     self.enqueue(Purpose::Write(op), StoreRequest::Transact(transaction));
                 }
-                Want::Forward { op, node, ask } => {
+                Want::Forward { op, node, user_request } => {
                     self.next_forward += 1;
                     let id = self.next_forward;
                     self.forwards.insert(id, op);
                     self.outputs.push(Output::Peer {
                         node,
-                        message: Message::Forward {
+                        message: Message::ForwardRequest {
                             shard: SHARD.into(),
                             id,
-                            ask,
+                            user_request,
                         },
                     });
                 }
@@ -72,22 +72,23 @@
         }
     }
 
-    pub(super) fn user(&mut self, request: u64, ask: Ask) {
-        let forward = self.forward_to(&ask);
-        let asker = Asker::User(request);
-        let wants = self.with_admission(|admission, context, _| admission.ask(context, asker, ask, forward));
-        self.carry_out(wants);
+    pub(super) fn user(&mut self, request: u64, user_request: UserRequest) {
+        let forward = self.forward_to(&user_request);
+        let requester = Requester::User(request);
+        let wants =
+            self.with_admission(|admission, context, _| admission.handle(context, requester, user_request, forward));
+        self.apply_effects(wants);
     }
 
     /// Who should answer: the leader takes submissions and cancels; any other
     /// controller only when this one can't use the state service.
-    pub(super) fn forward_to(&self, ask: &Ask) -> Option<String> {
+    pub(super) fn forward_to(&self, user_request: &UserRequest) -> Option<String> {
         if self.leads() {
             return None;
         }
         let leader = self.peers.leader(self.now);
-        let to = match ask {
-            Ask::Submit(_) | Ask::Cancel(_) if leader.is_some() => leader,
+        let to = match user_request {
+            UserRequest::Submit(_) | UserRequest::Cancel(_) if leader.is_some() => leader,
             _ if self.store_ok() => None,
             _ => leader.or(self.peers.with_store(self.now)),
         };
--- a/src/controller/shard.rs
+++ b/src/controller/shard.rs
@@ -1,14 +1,14 @@
 use crate::Millis;
-use crate::fleet::{Fleet, GroupValue, Inventory, Rental, RentalValue};
+use crate::fleet::{Fleet, GroupValue, Inventory, MachineRequestRecord, PendingMachineRequest};
 use crate::ids::{AttemptIx, ChunkId, ClassIx, ImageIx, Index, JobIx, MachineIx, Names, Table, TeamIx, TypeIx, ZoneIx};
 use crate::pipeline::ledger::Ledger;
 use crate::pipeline::{ChunkValue, Job, JobBuilder, chunk_tasks, error_pause};
-use crate::placement::{TeamUse, TypeInfo};
+use crate::placement::{TeamQuota, TypeInfo};
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::store::{JobKey, Keys};
-use crate::wire::{Catalogue, Entry, ListedMachine, MachineState, Report, Standing, TaskState};
-use crate::workers::{Attempt, Attempts, Machine, Outcome, Room};
+use crate::wire::{Catalogue, Entry, JobState, ListedMachine, MachineState, Report, TaskState};
+use crate::workers::{Attempt, Attempts, Machine, Outcome, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines deleted are remembered this long, since lists and reports lag.
@@ -16,7 +16,7 @@
 /// Workers report every `report_s`, give or take a quarter.
 const LONGEST_REPORT_INTERVAL: f64 = 1.25;
 /// A machine that refused a task gets no new ones for this long.
-const REFUSED_REST_MS: Millis = 1_000;
+const REFUSED_CORDON_MS: Millis = 1_000;
 
 /// Everything that the leader of a shard knows of it. Made anew for every term.
 pub struct Shard {
@@ -27,15 +27,15 @@
     /// Since when the leader has taken reports without a break.
     pub hearing_since: Millis,
     /// The time of day of the step now going on.
-    pub wall: Millis,
+    pub wall_clock: Millis,
     /// In which time jobs of a class should be complete.
     pub due: BTreeMap<String, Millis>,
     /// In which time their tasks should be started.
     pub start_within: BTreeMap<String, Millis>,
     /// After this much time without an answer a worker has dropped its tasks.
-    pub lapse_ms: Millis,
+    pub lease_expiry_ms: Millis,
     pub chunk_tasks: u32,
-    pub rental_prefix: String,
+    pub machine_request_prefix: String,
 
     pub team_names: Names<TeamIx>,
     pub types: Names<TypeIx>,
@@ -43,7 +43,7 @@
     pub images: Names<ImageIx>,
     pub classes: Names<ClassIx>,
     pub type_info: Vec<Option<TypeInfo>>,
-    pub teams_use: Vec<TeamUse>,
+    pub team_quotas: Vec<TeamQuota>,
 
     pub jobs: Table<JobIx, Job>,
     pub attempts: Attempts,
@@ -53,15 +53,15 @@
     pub fleet: Fleet,
     pub inventory: Inventory,
     /// Machines that have something new to be told.
-    pub to_push: BTreeSet<MachineIx>,
+    pub delivery_due: BTreeSet<MachineIx>,
     /// When preemption was last looked for.
     pub preempted_at: Millis,
     /// Something happened since the last round that placement depends on.
-    pub room_changed: bool,
+    pub capacity_changed: bool,
     /// Jobs whose keys were seen to be gone.
-    pub gone: Vec<String>,
+    pub deleted_jobs: Vec<String>,
     /// Starts that may still arrive have to be withdrawn by a higher term.
-    pub withdraw: bool,
+    pub needs_higher_term: bool,
 }
 
 impl Shard {
@@ -69,18 +69,18 @@
         let keys = Keys::new(name);
         let params = &settings.params;
         let mut team_names = Names::default();
-        let mut teams_use = Vec::new();
+        let mut team_quotas = Vec::new();
         for team in &params.teams {
             team_names.intern(&team.name);
-            let room = |cpus, gpus| Room {
+            let resources = |cpus, gpus| Resources {
                 cpus,
                 gpus,
                 memory_gb: 0.0,
             };
-            teams_use.push(TeamUse {
-                guarantee: room(team.cpus, team.gpus),
-                limit: room(team.cpus_max, team.gpus_max),
-                used: Room::default(),
+            team_quotas.push(TeamQuota {
+                guarantee: resources(team.cpus, team.gpus),
+                limit: resources(team.cpus_max, team.gpus_max),
+                used: Resources::default(),
             });
         }
         let mut zones = Names::default();
@@ -104,19 +104,19 @@
             policy: policy.clone(),
             report_s: params.workers.report_s,
             hearing_since: 0,
-            wall: 0,
+            wall_clock: 0,
             due: within("finished"),
             start_within: within("wait"),
-            lapse_ms: settings.lapse_ms(),
+            lease_expiry_ms: settings.lease_expiry_ms(),
             chunk_tasks: chunk_tasks(params.state.value_kb),
-            rental_prefix: keys.rentals(),
+            machine_request_prefix: keys.machine_requests(),
             team_names,
             types: Names::default(),
             zones,
             images: Names::default(),
             classes: Names::default(),
             type_info: Vec::new(),
-            teams_use,
+            team_quotas,
             jobs: Table::default(),
             attempts: Attempts::default(),
             machines: Table::default(),
@@ -124,11 +124,11 @@
             ledger: Ledger::default(),
             fleet: Fleet::default(),
             inventory: Inventory::new(params.state.value_kb),
-            to_push: BTreeSet::new(),
+            delivery_due: BTreeSet::new(),
             preempted_at: 0,
-            room_changed: true,
-            gone: Vec::new(),
-            withdraw: false,
+            capacity_changed: true,
+            deleted_jobs: Vec::new(),
+            needs_higher_term: false,
         }
     }
 
@@ -141,7 +141,7 @@
             let ix = self.type_ix(&info.name).usize();
             let zones = info.zones.iter().map(|zone| self.zones.intern(zone)).collect();
             self.type_info[ix] = Some(TypeInfo {
-                room: Room {
+                resources: Resources {
                     cpus: info.cpus,
                     gpus: info.gpus,
                     memory_gb: info.memory_gb,
@@ -168,31 +168,31 @@
         let type_ix = self.type_ix(type_name);
         let zone = self.zones.intern(zone);
         let ix = self.machines.insert(name, Machine::new(name, type_ix, zone, spot, now));
-        self.enrol(ix);
+        self.add_to_inventory(ix);
         ix
     }
 
     /// A machine that only a report speaks of. The report may be a late copy,
     /// from a machine returned long ago, so it counts for nothing until the
     /// cloud lists it or it answers a command.
-    pub fn add_hearsay(&mut self, now: Millis, report: &Report) -> MachineIx {
+    pub fn add_unverified(&mut self, now: Millis, report: &Report) -> MachineIx {
         let type_ix = self.type_ix(&report.machine_type);
         let zone = self.zones.intern(&report.zone);
         let machine = Machine::new(&report.machine, type_ix, zone, report.spot, now);
         let ix = self.machines.insert(&report.machine, machine);
-        self.to_push.insert(ix);
+        self.delivery_due.insert(ix);
         ix
     }
 
     /// The machine is surely there: a successor must know of it.
-    pub fn enrol(&mut self, ix: MachineIx) {
+    pub fn add_to_inventory(&mut self, ix: MachineIx) {
         let Some(machine) = self.machines.get_mut(ix).filter(|machine| machine.group.is_none()) else {
             return;
         };
         machine.group = Some(self.inventory.add(self.term, ix));
     }
 
-    /// Takes over what the former leader left: machines first, then rentals, then
+    /// Takes over what the former leader left: machines first, then machine requests, then
     /// every written firing. Jobs come by the watch cache before these.
     pub fn load_group(&mut self, now: Millis, name: &str, entry: &Entry) {
         let Ok(value) = serde_json::from_value::<GroupValue>(entry.value.clone()) else {
@@ -209,7 +209,7 @@
                 group: Some(group_ix),
                 written: true,
                 // A start sent under an earlier term may still be on its way.
-                doubt: self.term.saturating_sub(1),
+                unconfirmed_start_term: self.term.saturating_sub(1),
                 ..Machine::new(&name, type_ix, zone, spot, now)
             };
             let ix = self.machines.insert(&name, machine);
@@ -219,15 +219,15 @@
         }
     }
 
-    pub fn load_rental(&mut self, entry: &Entry) {
-        match serde_json::from_value::<RentalValue>(entry.value.clone()) {
-            Ok(value) => self.fleet.rentals.push(Rental {
+    pub fn load_machine_request(&mut self, entry: &Entry) {
+        match serde_json::from_value::<MachineRequestRecord>(entry.value.clone()) {
+            Ok(value) => self.fleet.machine_requests.push(PendingMachineRequest {
                 value,
                 version: entry.version,
                 in_flight: false,
                 not_before: 0,
             }),
-            Err(error) => tracing::error!(key = entry.key, %error, "a rental key can't be read"),
+            Err(error) => tracing::error!(key = entry.key, %error, "a machine_request key can't be read"),
         }
     }
 
@@ -241,7 +241,7 @@
             return;
         };
         let first = number * self.chunk_tasks;
-        for (task, attempt, machine_name, session) in value.open {
+        for (task, attempt, machine_name, agent_epoch) in value.open {
             let machine_ix = match self.machines.find(&machine_name) {
                 Some(ix) => ix,
                 None => {
@@ -253,17 +253,17 @@
             let Some(job) = self.jobs.get_mut(job_ix) else {
                 continue;
             };
-            let room = job.shape.room;
+            let resources = job.shape.resources;
             let ended = job.ended.is_some();
             let ix = self.attempts.insert(Attempt {
                 job: job_ix,
                 task,
                 number: attempt,
                 machine: machine_ix,
-                session,
+                agent_epoch,
                 written: true,
                 writing: false,
-                seen: None,
+                observed_state: None,
                 // Nobody knows any more; what may have run long is not to be
                 // stopped as if it had just begun.
                 running_since: Some(0),
@@ -273,12 +273,12 @@
                 withdrawn: false,
             });
             job.open.insert(task, ix);
-            self.teams_use[job.team.usize()].used.add(room);
+            self.team_quotas[job.team.usize()].used.add(resources);
             let (image, gb) = (job.image, job.spec.image_gb);
             if let Some(machine) = self.machines.get_mut(machine_ix) {
-                machine.used.add(room);
+                machine.used.add(resources);
                 machine.open.push(ix);
-                machine.session = machine.session.max(session);
+                machine.agent_epoch = machine.agent_epoch.max(agent_epoch);
                 machine.touch(image, gb, f64::MAX);
                 machine.idle_since = now;
             }
@@ -342,7 +342,7 @@
         job.key_version = version;
         if job.ended.is_none() && key.ended.is_some() {
             job.ended = key.ended;
-            if key.ended == Some(Standing::Cancelled) {
+            if key.ended == Some(JobState::Cancelled) {
                 self.stop_all(now, ix);
             }
         }
@@ -352,8 +352,8 @@
     /// clean-up and taken in after it, may have brought the job back; nothing
     /// could ever be written of it again. Not while a transaction is in flight:
     /// it names jobs by index.
-    pub fn forget_gone(&mut self) {
-        for id in std::mem::take(&mut self.gone) {
+    pub fn forget_deleted_jobs(&mut self) {
+        for id in std::mem::take(&mut self.deleted_jobs) {
             let Some(job) = self.jobs.find(&id).and_then(|ix| self.jobs.get(ix)) else {
                 continue;
             };
@@ -361,7 +361,7 @@
                 self.remove_job(&id);
             } else {
                 tracing::error!(job = id, "a job's key is gone while its tasks are open");
-                self.withdraw = true;
+                self.needs_higher_term = true;
             }
         }
     }
@@ -392,7 +392,7 @@
             if !attempt.written && !attempt.writing {
                 self.close(now, attempt_ix, Outcome::Lost);
             } else {
-                self.to_push.insert(machine);
+                self.delivery_due.insert(machine);
             }
         }
         if self.jobs.get(ix).is_some_and(|job| job.open.is_empty()) {
@@ -407,7 +407,7 @@
             if self
                 .jobs
                 .get(ix)
-                .is_some_and(|job| job.ended == Some(Standing::Cancelled))
+                .is_some_and(|job| job.ended == Some(JobState::Cancelled))
             {
                 self.stop_all(now, ix);
             }
@@ -419,23 +419,23 @@
         let Some(attempt) = self.attempts.remove(ix) else {
             return;
         };
-        self.room_changed = true;
+        self.capacity_changed = true;
         let Some(job) = self.jobs.get_mut(attempt.job) else {
             return;
         };
-        let room = job.shape.room;
-        self.teams_use[job.team.usize()].used.take(room);
+        let resources = job.shape.resources;
+        self.team_quotas[job.team.usize()].used.take(resources);
         job.open.remove(&attempt.task);
         if let Some(machine) = self.machines.get_mut(attempt.machine) {
             machine.open.retain(|&other| other != ix);
-            machine.used.take(room);
+            machine.used.take(resources);
             if machine.open.is_empty() {
-                machine.used = Room::default();
+                machine.used = Resources::default();
                 machine.idle_since = now;
             }
             match outcome {
                 Outcome::Done => machine.note_success(),
-                Outcome::Refused => machine.rest_until = now + REFUSED_REST_MS,
+                Outcome::Refused => machine.cordoned_until = now + REFUSED_CORDON_MS,
                 _ => {}
             }
         }
@@ -498,7 +498,7 @@
             for attempt in machine.open.clone() {
                 self.close(now, attempt, Outcome::Lost);
             }
-            self.to_push.remove(&ix);
+            self.delivery_due.remove(&ix);
             if let Some(group) = self.machines.remove(name).and_then(|machine| machine.group) {
                 self.inventory.remove(group, ix);
             }
@@ -522,25 +522,25 @@
                 Some(ix) => ix,
                 None => self.add_machine(now, &listed.id, &listed.machine_type, &listed.zone, listed.spot),
             };
-            self.enrol(ix);
+            self.add_to_inventory(ix);
             let Some(machine) = self.machines.get_mut(ix) else {
                 continue;
             };
             machine.listed = true;
             machine.once_listed = true;
             if machine.heard_at.is_none() {
-                machine.rented_at = now.saturating_sub(crate::millis(listed.age_s));
+                machine.requested_at = now.saturating_sub(crate::millis(listed.age_s));
             }
             if machine.address.is_none() && listed.address.is_some() {
                 machine.address = listed.address.clone();
                 self.inventory.late.extend(machine.group);
             }
             if listed.state == MachineState::Running && machine.heard_at.is_none() {
-                self.to_push.insert(ix);
+                self.delivery_due.insert(ix);
             }
-            if listed.state == MachineState::Failed && !machine.condemned {
-                tracing::info!(machine = machine.name, "a machine has failed");
-                machine.condemned = true;
+            if listed.state == MachineState::Failed && !machine.decommissioned {
+                tracing::info!(machine = machine.name, "decommissioning a failed machine");
+                machine.decommissioned = true;
             }
         }
         if last {
@@ -558,8 +558,8 @@
             .open
             .values()
             .filter(|&&ix| {
-                let seen = self.attempts.get(ix).and_then(|attempt| attempt.seen);
-                matches!(seen, Some(TaskState::Running | TaskState::Saving))
+                let observed_state = self.attempts.get(ix).and_then(|attempt| attempt.observed_state);
+                matches!(observed_state, Some(TaskState::Running | TaskState::Saving))
             })
             .count() as u32;
         Some((job.done.len(), running))
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -112,7 +112,7 @@
             return;
         };
         match reply {
-            StoreReply::Unavailable | StoreReply::Lost => self.store_failed_at = Some(self.now),
+            StoreReply::Unavailable | StoreReply::Unanswered => self.store_failed_at = Some(self.now),
             StoreReply::Throttled => {
                 if !matches!(purpose, Purpose::Renew { .. }) {
                     self.enqueue_after(THROTTLED_MS, purpose, request);
@@ -138,14 +138,14 @@
             Purpose::CheckCommit(evidence) => self.commit_checked(evidence, &reply),
             Purpose::ReadEnd(op) => {
                 let wants = self.admission.end_read(op, &reply);
-                self.carry_out(wants);
+                self.apply_effects(wants);
             }
             Purpose::Write(op) => {
                 if let StoreReply::Conflict { failed } = &reply {
                     self.check_claim_in(request, failed);
                 }
                 let wants = self.with_admission(|admission, context, _| admission.written(context, op, &reply));
-                self.carry_out(wants);
+                self.apply_effects(wants);
             }
             Purpose::Catalogue | Purpose::Resign => {}
         }
--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new leader reads before it acts: machines, rentals, jobs and firings, one
+//! What a new leader reads before it acts: machines, machine requests, jobs and firings, one
 //! page after the other, so that heartbeats and renewals come in between.
 
 use super::store_calls::RETRY_MS;
@@ -15,7 +15,7 @@
     pub(super) fn load(&mut self, part: Loading, after: String) {
         let prefix = match part {
             Loading::Machines => self.keys.inventories(),
-            Loading::Rentals => self.keys.rentals(),
+            Loading::MachineRequests => self.keys.machine_requests(),
             Loading::WatchCache => self.keys.watched(),
             Loading::Firings => self.keys.firings(),
         };
@@ -48,7 +48,7 @@
         for entry in &page.items {
             match part {
                 Loading::Machines => shard.load_group(self.now, tail(entry, &self.keys.inventories()), entry),
-                Loading::Rentals => shard.load_rental(entry),
+                Loading::MachineRequests => shard.load_machine_request(entry),
                 Loading::WatchCache => {}
                 Loading::Firings => {
                     let name = tail(entry, &self.keys.firings()).to_owned();
@@ -68,9 +68,9 @@
         }
         match (page.more, next, part) {
             (true, Some(after), _) => self.load(part, after),
-            (_, _, Loading::Machines) => self.load(Loading::Rentals, String::new()),
+            (_, _, Loading::Machines) => self.load(Loading::MachineRequests, String::new()),
             // The watch cache must be newer than the claim before firings are read.
-            (_, _, Loading::Rentals) => {
+            (_, _, Loading::MachineRequests) => {
                 let request = self.watch(0);
                 self.enqueue(Purpose::Load(Loading::WatchCache), request);
             }
@@ -99,7 +99,7 @@
         };
         shard.loaded();
         // Asking each machine straight away spares a report interval.
-        shard.to_push.extend(shard.machines.indices());
+        shard.delivery_due.extend(shard.machines.indices());
         tracing::info!(
             term = self.election.term,
             jobs = shard.jobs.len(),
@@ -114,7 +114,7 @@
     /// Loading goes on as long as answers come.
     pub(super) fn give_up_loading(&mut self) {
         if self.election.phase == Phase::Loading && self.now > self.load_heard_at + LOAD_PATIENCE_MS {
-            self.follow(500);
+            self.step_down(500);
         }
     }
 }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -4,13 +4,13 @@
 use crate::wire::JobSpec;
 
 /// Numbers of what a life of a controller asks peers first.
-fn asked(life: u64) -> (u64, u64) {
+fn asked(incarnation: u64) -> (u64, u64) {
     let settings = Settings::parse(SAMPLE).expect("valid settings");
     let node = settings.peers[0].node.clone();
-    let mut controller = Controller::new(settings, Policy::default(), life);
+    let mut controller = Controller::new(settings, Policy::default(), incarnation);
     let now = Now {
-        steady: 1_000_000,
-        wall: 0,
+        monotonic: 1_000_000,
+        wall_clock: 0,
     };
     let beat = Message::Heartbeat {
         node: node.clone(),
@@ -20,11 +20,17 @@
     };
     let message = Box::new(beat);
     controller.step(now, Input::Peer { message, node });
-    let ask = Ask::Cancel("j-000001".into());
-    let outputs = controller.step(now, Input::User { request: 1, ask });
+    let user_request = UserRequest::Cancel("j-000001".into());
+    let outputs = controller.step(
+        now,
+        Input::User {
+            request: 1,
+            user_request,
+        },
+    );
     let forward = outputs.iter().find_map(|output| match output {
         Output::Peer {
-            message: Message::Forward { id, .. },
+            message: Message::ForwardRequest { id, .. },
             ..
         } => Some(*id),
         _ => None,
@@ -46,15 +52,18 @@
         store_ok: true,
     };
     let mut controller = Controller::new(settings, Policy::default(), 7);
-    let mut steady = 1_000_000;
+    let mut monotonic = 1_000_000;
     let mut pages = 3;
     let mut due: Vec<(Millis, u64, StoreReply)> = Vec::new();
-    while steady < 1_030_000 && !controller.leads() {
-        let now = Now { steady, wall: 0 };
+    while monotonic < 1_030_000 && !controller.leads() {
+        let now = Now {
+            monotonic,
+            wall_clock: 0,
+        };
         let (node, message) = (node.clone(), Box::new(beat.clone()));
         let mut outputs = controller.step(now, Input::Peer { node, message });
         outputs.extend(controller.step(now, Input::Tick));
-        let (ready, later): (Vec<_>, Vec<_>) = due.into_iter().partition(|(at, ..)| *at <= steady);
+        let (ready, later): (Vec<_>, Vec<_>) = due.into_iter().partition(|(at, ..)| *at <= monotonic);
         due = later;
         for (_, call, reply) in ready {
             outputs.extend(controller.step(now, Input::Store { call, reply }));
@@ -91,16 +100,16 @@
                 }
                 _ => continue,
             };
-            due.push((steady + after, call, reply));
+            due.push((monotonic + after, call, reply));
         }
-        steady += 50;
+        monotonic += 50;
     }
     assert!(controller.leads());
-    assert!(steady > 1_000_000 + 4 * SLOW_MS, "it was slow indeed");
+    assert!(monotonic > 1_000_000 + 4 * SLOW_MS, "it was slow indeed");
 }
 
-/// Guards against taking a peer's answer to a former life of this process,
-/// about another job or machine, for one to this life.
+/// Guards against taking a peer's answer to a former incarnation of this process,
+/// about another job or machine, for one to this incarnation.
 #[test]
 fn an_answer_to_a_former_life_fits_no_request() {
     let (first, second) = (asked(0x1000_0000_0000), asked(0x2000_0000_0000));
@@ -123,13 +132,19 @@
     let key = crate::store::JobKey {
         spec,
         accepted_ms: 0,
-        ended: Some(crate::wire::Standing::Cancelled),
+        ended: Some(crate::wire::JobState::Cancelled),
     };
     let mut controller = Controller::new(settings, Policy::default(), 7);
-    let mut steady = 1_000_000;
+    let mut monotonic = 1_000_000;
     let mut step = |controller: &mut Controller, input| {
-        steady += 10;
-        controller.step(Now { steady, wall: 0 }, input)
+        monotonic += 10;
+        controller.step(
+            Now {
+                monotonic,
+                wall_clock: 0,
+            },
+            input,
+        )
     };
     let item = crate::wire::Entry {
         key: "live/pool/job/j-7".into(),
@@ -154,7 +169,7 @@
         calls.max().expect("asked")
     };
     let hold = |revision| {
-        let message = Message::Hold {
+        let message = Message::RequestLeaseExtension {
             shard: SHARD.into(),
             term: 3,
             asked: 5,
@@ -168,7 +183,7 @@
     let held = |outputs: Vec<Output>| {
         outputs.into_iter().find_map(|output| match output {
             Output::Peer {
-                message: Message::Held { term, asked, cancelled },
+                message: Message::GrantLeaseExtension { term, asked, cancelled },
                 ..
             } => Some((term, asked, cancelled)),
             _ => None,
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -68,7 +68,7 @@
         }
         if number > 0 {
             let wants = self.with_admission(|admission, context, _| admission.synced(context, number, ok));
-            self.carry_out(wants);
+            self.apply_effects(wants);
         }
     }
 
@@ -122,7 +122,7 @@
                 WatchedChange::JobGone(id) => {
                     self.peers.counts.remove(&id);
                     if let Some(shard) = &mut self.shard {
-                        shard.gone.push(id);
+                        shard.deleted_jobs.push(id);
                     }
                 }
             }
--- a/src/election/tests.rs
+++ b/src/election/tests.rs
@@ -20,22 +20,22 @@
 #[test]
 fn validity_counts_from_when_the_renewal_was_sent() {
     let (mut election, _, watch_cache) = claimed(1_000);
-    assert!(election.acting(1_000 + LEASE_MS - MARGIN_MS - 1));
-    assert!(!election.acting(1_000 + LEASE_MS - MARGIN_MS));
+    assert!(election.is_acting_leader(1_000 + LEASE_MS - MARGIN_MS - 1));
+    assert!(!election.is_acting_leader(1_000 + LEASE_MS - MARGIN_MS));
     election.renewed(2_000, 2_000);
-    assert!(election.acting(2_000 + LEASE_MS - MARGIN_MS - 1));
-    // Guards against acting again on a renewal alone: after a lapse another
+    assert!(election.is_acting_leader(2_000 + LEASE_MS - MARGIN_MS - 1));
+    // Guards against acting again on a renewal alone: after an expiry another
     // controller may have claimed and lost the shard in between.
-    let lapsed = 2_000 + LEASE_MS;
-    election.poll(lapsed, &watch_cache, true);
-    election.renewed(lapsed + 1, lapsed);
-    assert!(!election.acting(lapsed + 1));
+    let expired = 2_000 + LEASE_MS;
+    election.poll(expired, &watch_cache, true);
+    election.renewed(expired + 1, expired);
+    assert!(!election.is_acting_leader(expired + 1));
     // Nor is a read from before the renewal enough, or an old watch cache.
-    assert!(!election.may_resume(lapsed + 1, lapsed));
-    election.watch_cache_read(lapsed + 1);
-    assert!(election.may_resume(lapsed + 2, lapsed + 1));
+    assert!(!election.may_resume(expired + 1, expired));
+    election.watch_cache_read(expired + 1);
+    assert!(election.may_resume(expired + 2, expired + 1));
     election.resume();
-    assert!(election.acting(lapsed + 2));
+    assert!(election.is_acting_leader(expired + 2));
 }
 
 /// Guards against a leader that renews and answers workers while it hears of no
@@ -46,12 +46,12 @@
     let (mut election, _, watch_cache) = claimed(0);
     let old = LEASE_MS + AGE_MS;
     election.renewed(old - 1, old - 1);
-    assert!(election.acting(old - 1));
-    assert!(!election.acting(old));
+    assert!(election.is_acting_leader(old - 1));
+    assert!(!election.is_acting_leader(old));
     assert_eq!(election.poll(old, &watch_cache, true), None);
     election.watch_cache_read(old);
     assert_eq!(election.poll(old + 1, &watch_cache, true), Some(LeaseRequest::Renew(9)));
-    assert!(!election.acting(old + 1));
+    assert!(!election.is_acting_leader(old + 1));
 }
 
 #[test]
@@ -70,7 +70,7 @@
 fn every_claim_raises_the_term_and_depends_on_it() {
     let (mut election, keys, watch_cache) = claimed(0);
     let first = election.term;
-    let transaction = election.reclaim(&keys, &watch_cache);
+    let transaction = election.raise_term(&keys, &watch_cache);
     assert!(election.term > first);
     assert!(transaction.conditions.iter().any(|c| c.key == keys.term()));
     assert!(
@@ -86,20 +86,20 @@
 #[test]
 fn a_leader_acts_as_long_as_all_others_promise_not_to_claim() {
     let (mut election, _, watch_cache) = claimed(0);
-    let lapse = LEASE_MS - MARGIN_MS;
-    assert!(!election.asks_to_hold(HOLD_AFTER_MS - MARGIN_MS - 1));
-    assert!(election.asks_to_hold(lapse - 500));
-    assert!(!election.asks_to_hold(lapse - 499));
-    election.held(lapse - 100, lapse - 500);
-    let until = lapse - 500 + HOLD_MS;
-    assert!(election.acting(until - 1));
+    let expire = LEASE_MS - MARGIN_MS;
+    assert!(!election.wants_lease_extension(EXTENSION_AFTER_MS - MARGIN_MS - 1));
+    assert!(election.wants_lease_extension(expire - 500));
+    assert!(!election.wants_lease_extension(expire - 499));
+    election.lease_extended(expire - 100, expire - 500);
+    let until = expire - 500 + EXTENSION_MS;
+    assert!(election.is_acting_leader(until - 1));
     assert!(!election.lease_valid(until - 1));
-    assert!(!election.acting(until));
+    assert!(!election.is_acting_leader(until));
     // Late promises revive nothing: another may have been the leader meanwhile.
-    election.held(until + 10, until + 5);
-    assert!(!election.acting(until + 10));
+    election.lease_extended(until + 10, until + 5);
+    assert!(!election.is_acting_leader(until + 10));
     election.poll(until + 10, &watch_cache, true);
-    assert!(!election.promise(until + 10), "it may still be the leader");
+    assert!(!election.grant_extension(until + 10), "it may still be the leader");
 }
 
 #[test]
@@ -108,17 +108,17 @@
     watch_cache.complete = true;
     watch_cache.term = (3, 8);
     let mut election = LeaderElection::new("a", 1, AGE_MS);
-    let settled = HOLD_MS + MARGIN_MS;
-    // A former life may have promised just before this one began.
+    let settled = EXTENSION_MS + MARGIN_MS;
+    // A former incarnation may have promised just before this one began.
     assert_eq!(election.poll(0, &watch_cache, true), None);
     assert_eq!(election.poll(settled - 1, &watch_cache, true), None);
-    assert!(election.promise(settled - 1));
+    assert!(election.grant_extension(settled - 1));
     assert_eq!(election.poll(2 * settled - 2, &watch_cache, true), None);
     assert_eq!(
         election.poll(2 * settled - 1, &watch_cache, true),
         Some(LeaseRequest::Grant)
     );
-    assert!(!election.promise(2 * settled), "it is about to claim");
+    assert!(!election.grant_extension(2 * settled), "it is about to claim");
 }
 
 /// Guards against two leaders at once: another's claim, seen while the lease was
@@ -131,14 +131,14 @@
     watch_cache.complete = true;
     let mut election = LeaderElection::new("a", 1, AGE_MS);
     assert_eq!(election.poll(0, &watch_cache, true), Some(LeaseRequest::Grant));
-    let claim = |node: &str, life| LeaderValue {
+    let claim = |node: &str, incarnation| LeaderValue {
         node: node.into(),
-        life,
+        incarnation,
         term: 1,
     };
     watch_cache.leader = Some((claim("b", 2), 1));
     assert_eq!(election.granted(9, 0, &keys, &watch_cache), None);
-    // One of its own earlier life is as good as none.
+    // One of its own earlier incarnation is as good as none.
     watch_cache.leader = Some((claim("a", 2), 1));
     assert!(election.granted(9, 0, &keys, &watch_cache).is_some());
 }
--- a/src/fleet/forecast.rs
+++ b/src/fleet/forecast.rs
@@ -80,7 +80,7 @@
             // where its aim is longer than a boot, so that what was asked for when
             // it came is there by then; else, and behind all others, only once
             // new ones would be up.
-            let left_s = job.start_by_ms.saturating_sub(self.wall) as f64 / 1000.0;
+            let left_s = job.start_by_ms.saturating_sub(self.wall_clock) as f64 / 1000.0;
             let aim_s = job.start_by_ms.saturating_sub(job.accepted_ms) as f64 / 1000.0;
             let time_s = if aim_s > boot_s && job.priority() > Priority::Low {
                 left_s
@@ -105,8 +105,8 @@
         }
         for (ClassOfTeam { class, team }, team_demand) in team_wants {
             let demand = self.fleet.demand.entry(class).or_default();
-            let cpus = demand.shape.room.cpus;
-            let limit = self.teams_use[team.usize()].limit.cpus;
+            let cpus = demand.shape.resources.cpus;
+            let limit = self.team_quotas[team.usize()].limit.cpus;
             let most = if limit > 0.0 && cpus > 0.0 {
                 (limit / cpus).floor()
             } else {
@@ -141,7 +141,7 @@
             .retain(|_, demand| demand.history.iter().any(|&(_, wanted)| wanted > 0.0));
         // Best-effort work yields to all others, and so gets what they leave.
         wants.sort_by(|a, b| {
-            let by_size = b.shape.room.cpus.total_cmp(&a.shape.room.cpus);
+            let by_size = b.shape.resources.cpus.total_cmp(&a.shape.resources.cpus);
             a.best_effort.cmp(&b.best_effort).then(by_size)
         });
         wants
@@ -153,7 +153,7 @@
             .type_info
             .iter()
             .flatten()
-            .filter(|info| info.room.fits(shape.room));
+            .filter(|info| info.resources.fits(shape.resources));
         fitting
             .map(|info| info.boot_s)
             .reduce(f64::min)
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -4,7 +4,7 @@
 use crate::Millis;
 use crate::controller::Shard;
 use crate::ids::{Index, MachineIx, ZoneIx};
-use crate::workers::{MISSES_TO_GIVE_UP, Machine};
+use crate::workers::{MISSED_ANSWERS_TO_DECOMMISSION, Machine};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine that takes this many boot times is late: others are asked for in its
@@ -65,12 +65,12 @@
 }
 
 impl Shard {
-    /// Condemns what is past use; its deletion is the proof that its tasks are over.
-    pub(super) fn give_up_broken(&mut self, now: Millis) {
+    /// Decommissions what is past use; its deletion is the proof that its tasks are over.
+    pub(super) fn decommission_failed(&mut self, now: Millis) {
         let overview = self.overview(now);
         for ix in self.machines.indices() {
             let silent = overview.silent.contains(&ix);
-            let Some(machine) = self.machines.get_mut(ix).filter(|machine| !machine.condemned) else {
+            let Some(machine) = self.machines.get_mut(ix).filter(|machine| !machine.decommissioned) else {
                 continue;
             };
             machine.silent = silent;
@@ -78,8 +78,12 @@
                 continue;
             };
             if let Some(machine) = self.machines.get_mut(ix) {
-                tracing::info!(machine = machine.name, reason = failure.text(), "giving up a machine");
-                machine.condemned = true;
+                tracing::info!(
+                    machine = machine.name,
+                    reason = failure.text(),
+                    "decommissioning a machine"
+                );
+                machine.decommissioned = true;
             }
         }
     }
@@ -127,24 +131,31 @@
         let boot_s = self.boot_s_of(machine);
         let silence_ms = self.silence_ms();
         let unlisted_ms = crate::millis(self.longest_report_interval_s()) + 1_500;
-        let lapsed = now > machine.answered_at + self.lapse_ms;
-        let since = machine.last_sign().unwrap_or(machine.rented_at).max(self.hearing_since);
+        let expired = now > machine.answered_at + self.lease_expiry_ms;
+        let since = machine
+            .last_sign()
+            .unwrap_or(machine.requested_at)
+            .max(self.hearing_since);
         let unheard = |patience: Millis| now > since + patience;
         let zone_is_silent = self.fleet.silent_zones.contains(&machine.zone);
         let replaced_ms = silence_ms + crate::millis(boot_s * REPLACED_BOOT);
         let boot_ms = crate::millis(boot_s * BOOT_PATIENCE) + FIRST_SIGN_MS;
-        if machine.silent && (!zone_is_silent || unheard(replaced_ms) && lapsed) {
+        if machine.silent && (!zone_is_silent || unheard(replaced_ms) && expired) {
             Some(Failure::Silent)
         } else if machine.unlisted && machine.heard_at.is_some() && unheard(unlisted_ms) {
             Some(Failure::SilentAndUnlisted)
         } else if is_unreached(machine) && !overview.most_unreached {
             Some(Failure::NotReached)
-        } else if machine.last_sign().is_none() && now > machine.rented_at + boot_ms && unheard(silence_ms) && lapsed {
+        } else if machine.last_sign().is_none()
+            && now > machine.requested_at + boot_ms
+            && unheard(silence_ms)
+            && expired
+        {
             Some(Failure::NeverUp)
         } else if machine.is_sick() && !overview.most_sick {
             Some(Failure::Sick)
         } else if machine
-            .taken_at
+            .spot_reclaim_at
             .is_some_and(|at| now + 1_000 > at || machine.open.is_empty())
         {
             Some(Failure::Taken)
@@ -163,7 +174,7 @@
     pub(super) fn is_late(&self, now: Millis, machine: &Machine) -> bool {
         let due_ms = crate::millis(self.boot_s_of(machine) * LATE_BOOT + self.longest_report_interval_s());
         machine.last_sign().is_none()
-            && now > machine.rented_at + due_ms
+            && now > machine.requested_at + due_ms
             && now > self.hearing_since + FIRST_SIGN_MS
             && !self.fleet.silent_zones.contains(&machine.zone)
     }
@@ -173,7 +184,7 @@
     pub(super) fn late_offers(&self, now: Millis) -> BTreeSet<Offer> {
         let mut counts: BTreeMap<Offer, (usize, usize)> = BTreeMap::new();
         for (_, machine) in self.machines.iter() {
-            if machine.last_sign().is_none() && !machine.condemned {
+            if machine.last_sign().is_none() && !machine.decommissioned {
                 let (late, all) = counts.entry(machine.offer()).or_default();
                 *late += usize::from(self.is_late(now, machine));
                 *all += 1;
@@ -189,5 +200,5 @@
 }
 
 fn is_unreached(machine: &Machine) -> bool {
-    machine.misses >= MISSES_TO_GIVE_UP
+    machine.missed_answers >= MISSED_ANSWERS_TO_DECOMMISSION
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -19,10 +19,10 @@
 /// Boot time of a type that the catalogue does not give.
 const UNKNOWN_BOOT_S: f64 = 60.0;
 
-/// A rental's key, written before the cloud is asked, so that a successor can
+/// A machine request's key, written before the cloud is asked, so that a successor can
 /// repeat the same request and learn what came of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RentalValue {
+pub struct MachineRequestRecord {
     pub request: String,
     pub machine_type: String,
     pub zone: String,
@@ -30,10 +30,10 @@
     pub count: u32,
 }
 
-/// A rental written and not yet answered for.
+/// A machine request written and not yet answered for.
 #[derive(Clone, Debug)]
-pub struct Rental {
-    pub value: RentalValue,
+pub struct PendingMachineRequest {
+    pub value: MachineRequestRecord,
     pub version: u64,
     pub in_flight: bool,
     pub not_before: Millis,
@@ -64,7 +64,7 @@
 
 #[derive(Debug, Default)]
 pub struct Fleet {
-    pub rentals: Vec<Rental>,
+    pub machine_requests: Vec<PendingMachineRequest>,
     next_request: u64,
     /// Offers refused lately, and until when they are left alone.
     pub refused: BTreeMap<Offer, Millis>,
@@ -85,7 +85,7 @@
             return;
         }
         self.fleet.planned_at = now;
-        self.give_up_broken(now);
+        self.decommission_failed(now);
         let wants = self.forecast(now);
         self.provision(now, wants);
     }
--- a/src/fleet/provision.rs
+++ b/src/fleet/provision.rs
@@ -2,25 +2,25 @@
 //! price, and returning what stays unused.
 
 use super::forecast::Want;
-use super::{Offer, RentalValue};
+use super::{MachineRequestRecord, Offer};
 use crate::Millis;
 use crate::controller::Shard;
 use crate::ids::{Index, MachineIx, TypeIx};
-use crate::workers::Room;
+use crate::workers::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines asked for at once by one request: the most that the cloud takes.
-const MAX_RENTAL: u32 = 50;
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
 /// Unanswered requests for one offer. More would only queue for the cloud's
 /// rate, and all but the first be in vain where there is no capacity.
-const MAX_OPEN_RENTALS: u32 = 2;
+const MAX_PENDING_REQUESTS: u32 = 2;
 
 /// A machine there is or, without an index, one asked for.
 pub(super) struct Place {
     machine: Option<MachineIx>,
     offer: Offer,
     idle: bool,
-    room: Room,
+    resources: Resources,
     used: bool,
 }
 
@@ -41,9 +41,9 @@
         } else {
             left.saturating_sub(want.count.saturating_sub(want.firm))
         };
-        let fits = place.room.count(want.shape.room).min(most);
+        let fits = place.resources.count(want.shape.resources).min(most);
         for _ in 0..fits {
-            place.room.take(want.shape.room);
+            place.resources.take(want.shape.resources);
         }
         place.used |= fits > 0;
         left -= fits;
@@ -74,20 +74,24 @@
                 left = left.saturating_sub(fits);
             }
         }
-        self.ask_for(new_machines);
-        self.return_idle(now, &places);
+        self.request_machines(new_machines);
+        self.scale_in_idle(now, &places);
     }
 
-    fn ask_for(&mut self, new_machines: BTreeMap<Offer, u32>) {
+    fn request_machines(&mut self, new_machines: BTreeMap<Offer, u32>) {
         // Those given up are there until the cloud says that they are gone.
-        let mut total = self.machines.len() as u32 + self.asked_for().map(|(_, count)| count).sum::<u32>();
+        let mut total =
+            self.machines.len() as u32 + self.pending_machine_requests().map(|(_, count)| count).sum::<u32>();
         for (offer, count) in new_machines {
             let most = (self.policy.max_machines as u32).saturating_sub(total);
             let mut left = count.min(most);
-            let mut open = self.asked_for().filter(|&(other, _)| other == offer).count() as u32;
-            while left > 0 && open < MAX_OPEN_RENTALS {
-                let count = left.min(MAX_RENTAL);
-                self.rental(offer, count);
+            let mut open = self
+                .pending_machine_requests()
+                .filter(|&(other, _)| other == offer)
+                .count() as u32;
+            while left > 0 && open < MAX_PENDING_REQUESTS {
+                let count = left.min(MAX_MACHINES_PER_REQUEST);
+                self.machine_request(offer, count);
                 total += count;
                 left -= count;
                 open += 1;
@@ -100,7 +104,7 @@
     pub(super) fn places(&self, now: Millis) -> Vec<Place> {
         let mut places = Vec::with_capacity(self.machines.len());
         for (ix, machine) in self.machines.iter() {
-            let leaving = machine.condemned || machine.silent || machine.taken_at.is_some();
+            let leaving = machine.decommissioned || machine.silent || machine.spot_reclaim_at.is_some();
             if leaving || machine.group.is_none() || self.is_late(now, machine) {
                 continue;
             }
@@ -109,45 +113,51 @@
                     machine: Some(ix),
                     offer: machine.offer(),
                     idle: machine.open.is_empty(),
-                    room: info.room,
+                    resources: info.resources,
                     used: false,
                 });
             }
         }
-        for (offer, count) in self.asked_for() {
+        for (offer, count) in self.pending_machine_requests() {
             if let Some(info) = &self.type_info[offer.type_ix.usize()] {
                 places.extend((0..count).map(|_| Place {
                     machine: None,
                     offer,
                     idle: true,
-                    room: info.room,
+                    resources: info.resources,
                     used: false,
                 }));
             }
         }
         places.sort_by(|a, b| {
             let rest = (a.idle, !a.offer.spot).cmp(&(b.idle, !b.offer.spot));
-            a.room.cpus.total_cmp(&b.room.cpus).then(rest)
+            a.resources.cpus.total_cmp(&b.resources.cpus).then(rest)
         });
         places
     }
 
     /// Requests that are not answered yet: what for, and how many machines.
-    fn asked_for(&self) -> impl Iterator<Item = (Offer, u32)> {
-        let rentals = self.fleet.rentals.iter().map(|rental| &rental.value);
-        rentals.chain(&self.ledger.rentals).filter_map(|rental| {
-            let type_ix = self.types.get(&rental.machine_type)?;
-            let zone = self.zones.get(&rental.zone)?;
-            let offer = Offer {
-                type_ix,
-                zone,
-                spot: rental.spot,
-            };
-            Some((offer, rental.count))
-        })
+    fn pending_machine_requests(&self) -> impl Iterator<Item = (Offer, u32)> {
+        let machine_requests = self
+            .fleet
+            .machine_requests
+            .iter()
+            .map(|machine_request| &machine_request.value);
+        machine_requests
+            .chain(&self.ledger.machine_requests)
+            .filter_map(|machine_request| {
+                let type_ix = self.types.get(&machine_request.machine_type)?;
+                let zone = self.zones.get(&machine_request.zone)?;
+                let offer = Offer {
+                    type_ix,
+                    zone,
+                    spot: machine_request.spot,
+                };
+                Some((offer, machine_request.count))
+            })
     }
 
-    fn return_idle(&mut self, now: Millis, places: &[Place]) {
+    fn scale_in_idle(&mut self, now: Millis, places: &[Place]) {
         let idle_ms = crate::millis(self.policy.idle_return_s);
         for place in places.iter().filter(|place| !place.used) {
             let Some(machine) = place.machine.and_then(|ix| self.machines.get_mut(ix)) else {
@@ -156,8 +166,8 @@
             let up = machine.heard_at.is_some();
             let idle_ms = if machine.spot { idle_ms } else { idle_ms / 3 };
             if up && machine.open.is_empty() && now > machine.idle_since + idle_ms {
-                tracing::info!(machine = machine.name, "returning an idle machine");
-                machine.condemned = true;
+                tracing::info!(machine = machine.name, "scaling in an idle machine");
+                machine.decommissioned = true;
             }
         }
     }
@@ -179,7 +189,7 @@
                 continue;
             };
             let type_ix = TypeIx::from_usize(type_ix);
-            let fits = info.room.count(want.shape.room);
+            let fits = info.resources.count(want.shape.resources);
             if fits == 0 {
                 continue;
             }
@@ -213,11 +223,11 @@
         best.map(|(_, offer, fits)| (offer, fits))
     }
 
-    fn rental(&mut self, Offer { type_ix, zone, spot }: Offer, count: u32) {
+    fn machine_request(&mut self, Offer { type_ix, zone, spot }: Offer, count: u32) {
         // The term is ours alone, so the name was never used before.
         let request = format!("{}-{}-{}", self.name, self.term, self.fleet.next_request);
         self.fleet.next_request += 1;
-        self.ledger.rentals.push_back(RentalValue {
+        self.ledger.machine_requests.push_back(MachineRequestRecord {
             request,
             machine_type: self.types.name(type_ix).into(),
             zone: self.zones.name(zone).into(),
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -20,13 +20,13 @@
     }
     let given_up = |shard: &Shard| -> Vec<String> {
         let machines = shard.machines.iter().map(|(_, machine)| machine);
-        let condemned = machines.filter(|machine| machine.condemned);
-        condemned.map(|machine| machine.name.clone()).collect()
+        let decommissioned = machines.filter(|machine| machine.decommissioned);
+        decommissioned.map(|machine| machine.name.clone()).collect()
     };
     let silent_ms = crate::millis(shard.policy.silent_reports * shard.report_s * 1.25);
-    shard.give_up_broken(silent_ms + 1);
+    shard.decommission_failed(silent_ms + 1);
     assert_eq!(given_up(&shard), ["host-4"]);
-    shard.give_up_broken(silent_ms + 3_001);
+    shard.decommission_failed(silent_ms + 3_001);
     assert_eq!(given_up(&shard), ["host-4"]);
     let north = shard.zones.get("north").expect("known");
     assert!(shard.fleet.silent_zones.contains(&north));
@@ -34,11 +34,11 @@
         shard
             .machines
             .iter()
-            .all(|(_, machine)| machine.silent == (machine.zone == north || machine.condemned))
+            .all(|(_, machine)| machine.silent == (machine.zone == north || machine.decommissioned))
     );
     // Until new ones would be there; the type boots for 5 s.
     let patience = silent_ms + 7_500;
-    shard.give_up_broken(patience.max(shard.lapse_ms) + 3_001);
+    shard.decommission_failed(patience.max(shard.lease_expiry_ms) + 3_001);
     assert_eq!(given_up(&shard).len(), 5);
 }
 
@@ -53,7 +53,7 @@
         // Its class has an aim.
         known.best_effort = false;
         known.start_by_ms = start_by_ms;
-        shard.wall = wall;
+        shard.wall_clock = wall;
         shard.forecast(wall)[0].firm
     };
     // They run for 5 s and have 20 left: five rounds.
@@ -73,15 +73,15 @@
     }
     let silent_ms = crate::millis(shard.policy.silent_reports * shard.report_s * 1.25);
     shard.hearing_since = 300_000;
-    shard.give_up_broken(300_000 + silent_ms);
+    shard.decommission_failed(300_000 + silent_ms);
     assert!(
         shard
             .machines
             .iter()
-            .all(|(_, machine)| !machine.condemned && !machine.silent)
+            .all(|(_, machine)| !machine.decommissioned && !machine.silent)
     );
-    shard.give_up_broken(300_000 + 4 * silent_ms);
-    assert!(shard.machines.iter().all(|(_, machine)| machine.condemned));
+    shard.decommission_failed(300_000 + 4 * silent_ms);
+    assert!(shard.machines.iter().all(|(_, machine)| machine.decommissioned));
 }
 
 #[test]
@@ -134,15 +134,18 @@
     assert!(late(&shard, 13_000));
     assert_eq!(shard.places(12_000).len(), 1);
     assert!(shard.places(13_000).is_empty(), "others are asked for in its place");
-    shard.give_up_broken(13_000);
-    assert!(!shard.machines.get(ix).expect("there").condemned, "it may come yet");
+    shard.decommission_failed(13_000);
+    assert!(
+        !shard.machines.get(ix).expect("there").decommissioned,
+        "it may come yet"
+    );
     // If it comes after all it counts like any other.
     shard.machines.get_mut(ix).expect("there").heard_at = Some(14_000);
     assert_eq!(shard.places(14_000).len(), 1);
     shard.machines.get_mut(ix).expect("there").heard_at = None;
-    let patience = shard.lapse_ms.max(25_000) + shard.silence_ms();
-    shard.give_up_broken(patience + 1);
-    assert!(shard.machines.get(ix).expect("there").condemned);
+    let patience = shard.lease_expiry_ms.max(25_000) + shard.silence_ms();
+    shard.decommission_failed(patience + 1);
+    assert!(shard.machines.get(ix).expect("there").decommissioned);
 }
 
 #[test]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -20,15 +20,15 @@
 pub mod wire;
 pub mod workers;
 
-/// Milliseconds on the steady clock of this process.
+/// Milliseconds on the monotonic clock of this process.
 pub type Millis = u64;
 
-/// The two clocks of a step. Leases and waits use `steady`; only times that
-/// must outlive a process (submission times) use `wall`.
+/// The two clocks of a step. Leases and waits use `monotonic`; only times that
+/// must outlive a process (submission times) use `wall_clock`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
-    pub steady: Millis,
-    pub wall: Millis,
+    pub monotonic: Millis,
+    pub wall_clock: Millis,
 }
 
 /// Converts seconds as the protocols give them; hostile values saturate.
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -12,7 +12,7 @@
 
 /// What a user asks, as one controller forwards it to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum UserRequest {
     Submit(String),
     Show(String),
     Cancel(String),
@@ -29,22 +29,27 @@
 /// How a relayed report was taken.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReportReply {
-    Taken(ReportAnswer),
+    #[serde(rename = "Taken")]
+    Accepted(ReportAnswer),
     /// Go to this controller, or (`None`) to any other.
-    Elsewhere(Option<String>),
+    #[serde(rename = "Elsewhere")]
+    Redirected(Option<String>),
 }
 
 /// What came of commands sent straight to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum WorkerReply {
     /// Executed; the worker's report after the commands.
-    Done(Box<Report>),
-    /// Not executed: the token is too low or the session another.
+    #[serde(rename = "Done")]
+    Executed(Box<Report>),
+    /// Not executed: the fencing token is too low or the agent epoch another.
     Refused(Box<Report>),
     /// Surely not delivered, now or later.
-    NotSent,
+    #[serde(rename = "NotSent")]
+    NotDelivered,
     /// Sent and not answered: perhaps executed, perhaps later.
-    Lost,
+    #[serde(rename = "Lost")]
+    Unanswered,
 }
 
 /// Messages between controllers. Each says which shard it is about.
@@ -57,48 +62,47 @@
         leads_term: Option<u64>,
         store_ok: bool,
     },
-    Forward {
+    #[serde(rename = "Forward")]
+    ForwardRequest {
         shard: String,
         id: u64,
-        ask: Ask,
-    },
-    Forwarded {
-        id: u64,
-        answer: Answer,
+        user_request: UserRequest,
     },
+    #[serde(rename = "Forwarded")]
+    ForwardReply { id: u64, answer: Answer },
     /// Reports of workers, many at once, for the leader to answer.
-    Relay {
-        shard: String,
-        reports: Vec<(u64, Report)>,
-    },
-    Relayed {
-        answers: Vec<(u64, ReportReply)>,
-    },
+    #[serde(rename = "Relay")]
+    RelayReports { shard: String, reports: Vec<(u64, Report)> },
+    #[serde(rename = "Relayed")]
+    ReportReplies { answers: Vec<(u64, ReportReply)> },
     /// Commands for the peer to hand to workers: id, address, commands.
-    Push {
+    #[serde(rename = "Push")]
+    DeliverCommands {
         shard: String,
         commands: Vec<(u64, String, DirectCommands)>,
     },
-    Pushed {
-        replies: Vec<(u64, WorkerReply)>,
-    },
+    #[serde(rename = "Pushed")]
+    CommandReplies { replies: Vec<(u64, WorkerReply)> },
     /// A leader that can't reach the state service asks all others not to claim
-    /// for a while. `asked`: by its clock, which means nothing to another life of
+    /// for a while. `asked`: by its clock, which means nothing to another incarnation of
     /// it, hence the term; `revision`: what its watch cache holds.
-    Hold {
+    #[serde(rename = "Hold")]
+    RequestLeaseExtension {
         shard: String,
         term: u64,
         asked: u64,
         revision: u64,
     },
     /// They won't, nor can they reach it; and these were cancelled since.
-    Held {
+    #[serde(rename = "Held")]
+    GrantLeaseExtension {
         term: u64,
         asked: u64,
         cancelled: Vec<(JobKey, u64)>,
     },
     /// Task counts of unfinished jobs, for display: id, done, running.
-    Counts {
+    #[serde(rename = "Counts")]
+    TaskCounts {
         shard: String,
         counts: Vec<(String, u32, u32)>,
     },
@@ -107,7 +111,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Link {
     /// When it was asked, by the leader's clock, what it last promised.
-    held_at: Millis,
+    extension_granted_at: Millis,
     heard_at: Option<Millis>,
     leads_term: Option<u64>,
     store_ok: bool,
@@ -178,15 +182,15 @@
     }
 
     /// It promised not to claim.
-    pub fn held(&mut self, node: &str, asked: Millis) {
+    pub fn extension_granted(&mut self, node: &str, asked: Millis) {
         if let Some(link) = self.links.get_mut(node) {
-            link.held_at = link.held_at.max(asked);
+            link.extension_granted_at = link.extension_granted_at.max(asked);
         }
     }
 
     /// When the controller was asked whose promise is the oldest.
-    pub fn all_held_at(&self) -> Option<Millis> {
-        self.links.values().map(|link| link.held_at).min()
+    pub fn all_granted_at(&self) -> Option<Millis> {
+        self.links.values().map(|link| link.extension_granted_at).min()
     }
 
     /// A controller in reach that can use the state service.
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -6,18 +6,18 @@
     #[test]
     fn messages_survive_the_link(id in any::<u64>(), text in ".{0,200}", retry in proptest::option::of(any::<u32>())) {
         for message in [
-            Message::Forward { shard: "pool".into(), id, ask: Ask::Submit(text.clone()) },
-            Message::Forwarded { id, answer: Answer { status: 503, body: text.clone(), retry_after_s: retry } },
-            Message::Relayed { answers: vec![(id, ReportReply::Elsewhere(Some(text.clone())))] },
-            Message::Push {
+            Message::ForwardRequest { shard: "pool".into(), id, user_request: UserRequest::Submit(text.clone()) },
+            Message::ForwardReply { id, answer: Answer { status: 503, body: text.clone(), retry_after_s: retry } },
+            Message::ReportReplies { answers: vec![(id, ReportReply::Redirected(Some(text.clone())))] },
+            Message::DeliverCommands {
                 shard: "pool".into(),
                 commands: vec![(id, text.clone(), DirectCommands {
-                    token: id,
-                    session: 1,
+                    fencing_token: id,
+                    agent_epoch: 1,
                     commands: vec![Command::Stop { task: text.clone(), attempt: id, grace_s: 1.5 }],
                 })],
             },
-            Message::Pushed { replies: vec![(id, WorkerReply::Lost)] },
+            Message::CommandReplies { replies: vec![(id, WorkerReply::Unanswered)] },
         ] {
             let bytes = rmp_serde::to_vec(&message).expect("written");
             prop_assert_eq!(rmp_serde::from_slice::<Message>(&bytes).expect("read"), message);
@@ -53,10 +53,10 @@
 #[test]
 fn promises_count_only_from_all() {
     let mut peers = Peers::new(["a".to_string(), "b".to_string()]);
-    peers.held("a", 700);
-    assert_eq!(peers.all_held_at(), Some(0));
-    peers.held("b", 500);
-    peers.held("b", 400);
-    assert_eq!(peers.all_held_at(), Some(500));
-    assert_eq!(Peers::new([]).all_held_at(), None);
+    peers.extension_granted("a", 700);
+    assert_eq!(peers.all_granted_at(), Some(0));
+    peers.extension_granted("b", 500);
+    peers.extension_granted("b", 400);
+    assert_eq!(peers.all_granted_at(), Some(500));
+    assert_eq!(Peers::new([]).all_granted_at(), None);
 }
--- a/src/pipeline/ledger.rs
+++ b/src/pipeline/ledger.rs
@@ -7,10 +7,10 @@
 use super::{ChunkValue, OpenRecord};
 use crate::Millis;
 use crate::controller::Shard;
-use crate::fleet::{GroupValue, Member, RentalValue};
+use crate::fleet::{GroupValue, MachineRequestRecord, Member};
 use crate::ids::{ChunkId, GroupIx, JobIx, MachineIx};
 use crate::store::Keys;
-use crate::wire::{Change, Condition, Standing, Transaction};
+use crate::wire::{Change, Condition, JobState, Transaction};
 use crate::workers::Outcome;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -31,7 +31,7 @@
     pub finished: BTreeSet<JobIx>,
     /// Ended jobs none of whose attempts is open: their keys can go.
     pub cleanups: BTreeSet<JobIx>,
-    pub rentals: VecDeque<RentalValue>,
+    pub machine_requests: VecDeque<MachineRequestRecord>,
     /// Rental keys answered for: request and version.
     pub settled: VecDeque<(String, u64)>,
     pub in_flight: Option<InFlight>,
@@ -49,16 +49,16 @@
     cleanups: Vec<(JobIx, bool)>,
     /// Inventory groups, and the machines that they name.
     groups: Vec<(GroupIx, Vec<String>)>,
-    rentals: Vec<RentalValue>,
+    machine_requests: Vec<MachineRequestRecord>,
 }
 
 /// What a committed transaction allows next.
 #[derive(Debug, Default)]
 pub struct Committed {
     /// Machines that have something new to be told.
-    pub push: BTreeSet<MachineIx>,
+    pub delivery_due: BTreeSet<MachineIx>,
     /// Rentals that may now be asked for, with their key's version.
-    pub rentals: Vec<(RentalValue, u64)>,
+    pub machine_requests: Vec<(MachineRequestRecord, u64)>,
     /// Jobs that are done and answered for.
     pub done: Vec<String>,
 }
@@ -68,7 +68,7 @@
     pub fn starts_wait(&self) -> bool {
         !(self.ledger.starts.is_empty()
             && self.ledger.finished.is_empty()
-            && self.ledger.rentals.is_empty()
+            && self.ledger.machine_requests.is_empty()
             && self.inventory.urgent.is_empty())
     }
 }
@@ -95,7 +95,7 @@
 }
 
 impl Draft {
-    fn room(&self, ops: usize, bytes: usize) -> bool {
+    fn has_space(&self, ops: usize, bytes: usize) -> bool {
         self.transaction.changes.len() + ops <= self.ops && self.bytes + bytes <= MAX_BYTES
     }
 
@@ -126,7 +126,7 @@
         if self.ledger.in_flight.is_some() {
             return None;
         }
-        self.forget_gone();
+        self.forget_deleted_jobs();
         let mut draft = Draft {
             transaction: Transaction {
                 conditions: vec![claim],
@@ -141,7 +141,7 @@
         };
         self.draft_finished(keys, &mut draft, &mut flight);
         self.draft_inventory(keys, false, &mut draft, &mut flight);
-        self.draft_rentals(keys, &mut draft, &mut flight);
+        self.draft_machine_requests(keys, &mut draft, &mut flight);
         let starts = self.ledger.starts.clone();
         self.draft_chunks(keys, starts, &mut draft, &mut flight);
         draft.ops = max_ops.min(spare.max(draft.transaction.changes.len()));
@@ -169,7 +169,7 @@
 
     fn draft_finished(&mut self, keys: &Keys, draft: &mut Draft, flight: &mut InFlight) {
         for ix in self.ledger.finished.clone() {
-            if !draft.room(2, 1_500) {
+            if !draft.has_space(2, 1_500) {
                 return;
             }
             self.ledger.finished.remove(&ix);
@@ -184,7 +184,7 @@
             draft.change(
                 Change::put(
                     keys.end(&job.id),
-                    json!({"state": Standing::Done, "done": job.spec.tasks}),
+                    json!({"state": JobState::Done, "done": job.spec.tasks}),
                 ),
                 100,
             );
@@ -193,7 +193,7 @@
             let value = crate::store::JobKey {
                 spec: job.spec.clone(),
                 accepted_ms: job.accepted_ms,
-                ended: Some(Standing::Done),
+                ended: Some(JobState::Done),
             };
             draft.change(Change::put(keys.job(&job.id), json!(value)), 700);
             flight.finished.push(ix);
@@ -213,7 +213,7 @@
                 continue;
             };
             let bytes = 100 + group.members.len() * 120;
-            if !draft.room(1, bytes) {
+            if !draft.has_space(1, bytes) {
                 return;
             }
             self.inventory.urgent.remove(&ix);
@@ -248,23 +248,23 @@
         }
     }
 
-    fn draft_rentals(&mut self, keys: &Keys, draft: &mut Draft, flight: &mut InFlight) {
-        while draft.room(1, 200) {
-            let Some(rental) = self.ledger.rentals.pop_front() else {
+    fn draft_machine_requests(&mut self, keys: &Keys, draft: &mut Draft, flight: &mut InFlight) {
+        while draft.has_space(1, 200) {
+            let Some(machine_request) = self.ledger.machine_requests.pop_front() else {
                 break;
             };
-            let key = keys.rental(&rental.request);
+            let key = keys.machine_request(&machine_request.request);
             draft.require(key.clone(), 0);
-            draft.change(Change::put(key, json!(rental)), 200);
-            flight.rentals.push(rental);
+            draft.change(Change::put(key, json!(machine_request)), 200);
+            flight.machine_requests.push(machine_request);
         }
-        // A rental's key goes only after the machines it brought are written.
-        while self.inventory.urgent.is_empty() && draft.room(1, 100) {
+        // A machine request's key goes only after the machines it brought are written.
+        while self.inventory.urgent.is_empty() && draft.has_space(1, 100) {
             let Some((request, version)) = self.ledger.settled.pop_front() else {
                 break;
             };
-            draft.require(keys.rental(&request), version);
-            draft.change(Change::delete(keys.rental(&request)), 100);
+            draft.require(keys.machine_request(&request), version);
+            draft.change(Change::delete(keys.machine_request(&request)), 100);
         }
     }
 
@@ -293,13 +293,13 @@
                     continue;
                 };
                 if !attempt.withdrawn {
-                    open.push((task, attempt.number, machine.name.clone(), attempt.session));
+                    open.push((task, attempt.number, machine.name.clone(), attempt.agent_epoch));
                 }
             }
             let done = job.done.text(range.clone());
             let bytes = 120 + done.len() + open.len() * 60;
             // A single chunk always fits an otherwise empty transaction.
-            if !draft.room(1, bytes) && !draft.transaction.changes.is_empty() {
+            if !draft.has_space(1, bytes) && !draft.transaction.changes.is_empty() {
                 return;
             }
             self.ledger.drafted(chunk_id);
@@ -344,7 +344,7 @@
                 if chunk.version == 0 {
                     continue;
                 }
-                if !draft.room(1, 100) {
+                if !draft.has_space(1, 100) {
                     break;
                 }
                 dropping += 1;
@@ -352,7 +352,7 @@
                 draft.require(key.clone(), chunk.version);
                 draft.change(Change::delete(key), 100);
             }
-            let last = left == dropping && draft.room(1, 100);
+            let last = left == dropping && draft.has_space(1, 100);
             if last {
                 draft.require(keys.job(&job.id), job.key_version);
                 draft.change(Change::delete(keys.job(&job.id)), 100);
@@ -389,7 +389,7 @@
                         gone.push(ix);
                     } else {
                         attempt.written = true;
-                        result.push.insert(attempt.machine);
+                        result.delivery_due.insert(attempt.machine);
                     }
                 }
             }
@@ -399,7 +399,7 @@
         }
         for ix in flight.finished {
             if let Some(job) = self.jobs.get_mut(ix) {
-                job.ended = Some(Standing::Done);
+                job.ended = Some(JobState::Done);
                 job.key_version = revision;
                 result.done.push(job.id.clone());
                 self.ledger.cleanups.insert(ix);
@@ -441,7 +441,11 @@
                 }
             }
         }
-        result.rentals = flight.rentals.into_iter().map(|rental| (rental, revision)).collect();
+        result.machine_requests = flight
+            .machine_requests
+            .into_iter()
+            .map(|machine_request| (machine_request, revision))
+            .collect();
         result
     }
 
@@ -475,8 +479,8 @@
         self.ledger.finished.extend(flight.finished);
         self.ledger.cleanups.extend(flight.cleanups.iter().map(|(ix, _)| *ix));
         self.inventory.urgent.extend(flight.groups.iter().map(|(ix, _)| *ix));
-        self.ledger.rentals.extend(flight.rentals);
-        // Plain deletions of rental keys carry their own versions.
+        self.ledger.machine_requests.extend(flight.machine_requests);
+        // Plain deletions of machine request keys carry their own versions.
         let versions: BTreeMap<&str, u64> = flight
             .transaction
             .conditions
@@ -488,7 +492,7 @@
                 continue;
             };
             let version = versions.get(delete.as_str()).copied().unwrap_or(0);
-            if let Some(request) = delete.strip_prefix(&self.rental_prefix) {
+            if let Some(request) = delete.strip_prefix(&self.machine_request_prefix) {
                 self.ledger.settled.push_back((request.into(), version));
             }
         }
--- a/src/pipeline/mod.rs
+++ b/src/pipeline/mod.rs
@@ -15,12 +15,12 @@
 use crate::ids::{AttemptIx, ClassIx, ImageIx, MachineIx, Names, TeamIx, TypeIx, ZoneIx};
 use crate::placement::Shape;
 use crate::store::JobKey;
-use crate::wire::{JobSpec, Priority, Standing};
-use crate::workers::Room;
+use crate::wire::{JobSpec, JobState, Priority};
+use crate::workers::Resources;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// An attempt written in a chunk: task, attempt number, machine, worker session.
+/// An attempt written in a chunk: task, attempt number, machine, worker agent epoch.
 pub type OpenRecord = (u32, u64, String, u64);
 
 /// The value of a chunk's key.
@@ -72,7 +72,7 @@
     /// When one of its tasks was last placed, by time of day.
     pub last_start_ms: u64,
     pub key_version: u64,
-    pub ended: Option<Standing>,
+    pub ended: Option<JobState>,
     pub trigger: BySet,
     pub chunks: Vec<Chunk>,
     pub done: TaskSet,
@@ -120,15 +120,15 @@
     }
 
     /// It has tasks to place, and the others have kept it from it for long.
-    pub fn starving(&self, wall_ms: u64) -> bool {
-        self.live() && self.waiting() > 0 && wall_ms > self.last_start_ms.max(self.accepted_ms) + STARVING_MS
+    pub fn starving(&self, wall_clock_ms: u64) -> bool {
+        self.live() && self.waiting() > 0 && wall_clock_ms > self.last_start_ms.max(self.accepted_ms) + STARVING_MS
     }
 
     /// Best-effort work is put first by its age only until one of its tasks runs:
     /// long tasks of one such class would else take all machines at once.
-    pub fn old(&self, wall_ms: u64) -> bool {
+    pub fn old(&self, wall_clock_ms: u64) -> bool {
         let goes_first = !self.best_effort || self.open.is_empty();
-        goes_first && wall_ms > self.accepted_ms + OLD_MS
+        goes_first && wall_clock_ms > self.accepted_ms + OLD_MS
     }
 
     /// It failed on several machines and never got on: most likely it was
@@ -139,12 +139,12 @@
 
     /// Whether one of its tasks, started again at `wall_ms`, would still end
     /// well before the job is due. Best-effort work is never due.
-    pub fn has_slack(&self, wall_ms: u64) -> bool {
+    pub fn has_slack(&self, wall_clock_ms: u64) -> bool {
         if self.best_effort {
             return true;
         }
         let again = crate::millis(self.spec.estimate_s * 1.5) + SLACK_MS;
-        wall_ms + again < self.due_ms && !self.old(wall_ms)
+        wall_clock_ms + again < self.due_ms && !self.old(wall_clock_ms)
     }
 
     /// Short of room for long: the machines that it failed on may be the only ones
@@ -236,7 +236,7 @@
         let spec = key.spec.clone();
         let team = self.teams.get(&spec.team)?;
         let shape = Shape {
-            room: Room {
+            resources: Resources {
                 cpus: spec.cpus,
                 gpus: spec.gpus,
                 memory_gb: spec.memory_gb,
--- a/src/placement/machine_view.rs
+++ b/src/placement/machine_view.rs
@@ -6,7 +6,7 @@
 use crate::controller::Shard;
 use crate::ids::{ImageIx, Index, MachineIx, TypeIx, ZoneIx};
 use crate::pipeline::Job;
-use crate::workers::Room;
+use crate::workers::Resources;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -17,13 +17,13 @@
     zone: ZoneIx,
     spot: bool,
     type_cpus: f64,
-    free: Room,
+    free: Resources,
     reserved: bool,
 }
 
 impl Slot {
-    fn has_room(&self, room: Room) -> bool {
-        !self.reserved && self.free.fits(room)
+    fn has_room(&self, resources: Resources) -> bool {
+        !self.reserved && self.free.fits(resources)
     }
 }
 
@@ -100,7 +100,7 @@
 #[derive(Debug)]
 pub struct Ranking {
     slots: BinaryHeap<Score>,
-    room: Room,
+    resources: Resources,
     /// A slot holds the image but has no room.
     holder_full: bool,
 }
@@ -134,8 +134,8 @@
                     type_ix: machine.type_ix,
                     zone: machine.zone,
                     spot: machine.spot,
-                    type_cpus: info.room.cpus,
-                    free: info.room.less(machine.used),
+                    type_cpus: info.resources.cpus,
+                    free: info.resources.minus(machine.used),
                     reserved: false,
                 });
             }
@@ -183,12 +183,12 @@
         let is_particular = zones.is_some() || !job.failed_on.is_empty();
         if !is_particular && self.holders_are_full(job) {
             let mut open = self.open_to(job, zones);
-            let found = open.find(|(_, slot, _)| slot.has_room(job.shape.room));
+            let found = open.find(|(_, slot, _)| slot.has_room(job.shape.resources));
             return found.map_or(RoomFor::Nowhere, |(place, ..)| RoomFor::BesideFullHolder { place });
         }
         let (mut elsewhere, mut holder_full) = (None, false);
         for (place, slot, holds) in self.open_to(job, zones) {
-            match (slot.has_room(job.shape.room), holds) {
+            match (slot.has_room(job.shape.resources), holds) {
                 (true, true) => return RoomFor::AtHolder,
                 (true, false) => elsewhere = elsewhere.or(Some(place)),
                 (false, holds) => holder_full |= holds,
@@ -209,7 +209,8 @@
     /// none of them has room for its tasks.
     fn holders_are_full(&self, job: &Job) -> bool {
         let full = self.full_holders.get(&job.image);
-        let needs_as_much = |shape: &Shape| shape.allows_the_same(&job.shape) && job.shape.room.fits(shape.room);
+        let needs_as_much =
+            |shape: &Shape| shape.allows_the_same(&job.shape) && job.shape.resources.fits(shape.resources);
         full.is_some_and(|shapes| shapes.iter().any(needs_as_much))
     }
 
@@ -219,7 +220,7 @@
         let mut ranked = Vec::with_capacity(self.slots.len());
         let mut holder_full = false;
         for (place, slot, holds) in self.open_to(job, zones) {
-            if !slot.has_room(job.shape.room) {
+            if !slot.has_room(job.shape.resources) {
                 holder_full |= holds;
                 continue;
             }
@@ -233,7 +234,7 @@
         }
         Ranking {
             slots: ranked.into(),
-            room: job.shape.room,
+            resources: job.shape.resources,
             holder_full,
         }
     }
@@ -243,7 +244,7 @@
         let holds = |place: usize| self.holders.get(&image).is_some_and(|holders| holders[place]);
         loop {
             let Reverse(place) = ranking.slots.peek()?.place;
-            if self.slots[place].has_room(ranking.room) {
+            if self.slots[place].has_room(ranking.resources) {
                 return Some(Best {
                     place,
                     holds: holds(place),
@@ -256,8 +257,8 @@
     }
 
     /// Takes room at a place; gives its machine.
-    pub fn take(&mut self, place: usize, room: Room) -> MachineIx {
-        self.slots[place].free.take(room);
+    pub fn take(&mut self, place: usize, resources: Resources) -> MachineIx {
+        self.slots[place].free.take(resources);
         self.slots[place].machine
     }
 
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -26,12 +26,12 @@
     let mut best: Option<((bool, bool, f64, f64), MachineIx)> = None;
     for (ix, machine) in shard.machines.iter() {
         let info = shard.type_info[machine.type_ix.usize()].as_ref().expect("known");
-        let free = info.room.less(machine.used);
+        let free = info.resources.minus(machine.used);
         if !machine.usable(0) || !job.shape.allows(machine.type_ix, machine.zone, machine.spot) {
             continue;
         }
-        let score = (machine.holds(job.image), machine.spot, -info.room.cpus, -free.cpus);
-        if free.fits(job.shape.room) && best.is_none_or(|(other, _)| score > other) {
+        let score = (machine.holds(job.image), machine.spot, -info.resources.cpus, -free.cpus);
+        if free.fits(job.shape.resources) && best.is_none_or(|(other, _)| score > other) {
             best = Some((score, ix));
         }
     }
@@ -43,7 +43,7 @@
     shard.machines.iter().any(|(_, machine)| {
         let info = shard.type_info[machine.type_ix.usize()].as_ref().expect("known");
         let allowed = job.shape.allows(machine.type_ix, machine.zone, machine.spot);
-        allowed && machine.holds(job.image) && !info.room.less(machine.used).fits(job.shape.room)
+        allowed && machine.holds(job.image) && !info.resources.minus(machine.used).fits(job.shape.resources)
     })
 }
 
@@ -79,13 +79,13 @@
         for _ in 0..tasks {
             let job = shard.jobs.get(job_ix).expect("there");
             let expected = plain_scan(&shard, job);
-            let (room, image) = (job.shape.room, job.image);
+            let (resources, image) = (job.shape.resources, job.image);
             let held = |best: &MachineIx| shard.machines.get(*best).is_some_and(|machine| machine.holds(image));
             let room_for = match (expected, holder_is_full(&shard, job)) {
                 (None, _) => RoomFor::Nowhere,
                 (Some(best), _) if held(&best) => RoomFor::AtHolder,
                 (Some(_), true) => RoomFor::BesideFullHolder {
-                    place: view.slots.iter().position(|slot| slot.has_room(room)).expect("room"),
+                    place: view.slots.iter().position(|slot| slot.has_room(resources)).expect("resources"),
                 },
                 (Some(_), false) => RoomFor::Elsewhere,
             };
@@ -99,8 +99,8 @@
                 break;
             };
             view.note_image(place, image);
-            let machine = shard.machines.get_mut(view.take(place, room)).expect("there");
-            machine.used.add(room);
+            let machine = shard.machines.get_mut(view.take(place, resources)).expect("there");
+            machine.used.add(resources);
             machine.touch(image, 1.0, 50.0);
         }
     }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -9,7 +9,7 @@
 use crate::ids::{ChunkId, Index, JobIx, MachineIx, TypeIx, ZoneIx};
 use crate::pipeline::Job;
 use crate::wire::Priority;
-use crate::workers::{Attempt, Room, split_task};
+use crate::workers::{Attempt, Resources, split_task};
 use machine_view::{MachineView, Ranking, RoomFor};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -20,7 +20,7 @@
 /// A type of machine as the catalogue gives it.
 #[derive(Clone, Debug)]
 pub struct TypeInfo {
-    pub room: Room,
+    pub resources: Resources,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
     pub price: f64,
@@ -30,15 +30,15 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TeamUse {
-    pub guarantee: Room,
+pub struct TeamQuota {
+    pub guarantee: Resources,
     /// 0: no limit.
-    pub limit: Room,
-    pub used: Room,
+    pub limit: Resources,
+    pub used: Resources,
 }
 
-impl TeamUse {
-    pub fn may_add(&self, need: Room) -> bool {
+impl TeamQuota {
+    pub fn allows(&self, need: Resources) -> bool {
         let within = |used: f64, need: f64, limit: f64| limit <= 0.0 || used + need <= limit + 1e-6;
         within(self.used.cpus, need.cpus, self.limit.cpus) && within(self.used.gpus, need.gpus, self.limit.gpus)
     }
@@ -47,7 +47,7 @@
 /// What a task takes and which machines it may be on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shape {
-    pub room: Room,
+    pub resources: Resources,
     /// `None` for any.
     pub types: Option<Vec<TypeIx>>,
     pub zone: Option<ZoneIx>,
@@ -74,7 +74,7 @@
             (None, Some(_)) => false,
             (Some(own), Some(others)) => own.iter().all(|type_ix| others.contains(type_ix)),
         };
-        self.room.fits(other.room)
+        self.resources.fits(other.resources)
             && types_within
             && (other.zone.is_none() || self.zone == other.zone)
             && (other.spot || !self.spot)
@@ -126,7 +126,7 @@
         let mut round = Round {
             now,
             view: MachineView::new(self, now),
-            held_teams: vec![false; self.teams_use.len()],
+            held_teams: vec![false; self.team_quotas.len()],
             left: ROUND,
         };
         // What would starve gets one task each before all others, and is then
@@ -161,10 +161,10 @@
             let Some(task) = job.peek(round.now) else {
                 return;
             };
-            let (room, team, image) = (job.shape.room, job.team.usize(), job.image);
+            let (resources, team, image) = (job.shape.resources, job.team.usize(), job.image);
             let is_bound_to_zones = job.is_bound_to_zones();
-            let pressing = starving || job.old(self.wall);
-            if round.held_teams[team] || !self.teams_use[team].may_add(room) {
+            let pressing = starving || job.old(self.wall_clock);
+            if round.held_teams[team] || !self.team_quotas[team].allows(resources) {
                 // Small tasks would for ever use up what the team's limit
                 // leaves, and never leave it enough.
                 round.held_teams[team] |= pressing;
@@ -181,7 +181,7 @@
                 }
                 Choice::Place(place) => {
                     round.view.note_image(place, image);
-                    let machine = round.view.take(place, room);
+                    let machine = round.view.take(place, resources);
                     self.open_attempt(ix, task, machine);
                     if skipped || is_bound_to_zones {
                         ranking = None;
@@ -220,9 +220,9 @@
             return false;
         };
         machine
-            .strays
+            .unmatched_tasks
             .iter()
-            .any(|stray| split_task(&stray.task) == Some((job.id.as_str(), task)))
+            .any(|unmatched| split_task(&unmatched.task) == Some((job.id.as_str(), task)))
     }
 
     /// Jobs that fit into their team's guarantee along with the team's earlier
@@ -235,7 +235,7 @@
             .map(|(ix, job)| (job.accepted_ms, ix))
             .collect();
         by_arrival.sort_unstable();
-        let mut used = vec![Room::default(); self.teams_use.len()];
+        let mut used = vec![Resources::default(); self.team_quotas.len()];
         let mut guaranteed = BTreeSet::new();
         for (_, ix) in by_arrival {
             let Some(job) = self.jobs.get(ix) else {
@@ -243,12 +243,12 @@
             };
             let tasks = f64::from(job.spec.tasks - job.done.len());
             let used = &mut used[job.team.usize()];
-            used.add(Room {
-                cpus: job.shape.room.cpus * tasks,
-                gpus: job.shape.room.gpus * tasks,
+            used.add(Resources {
+                cpus: job.shape.resources.cpus * tasks,
+                gpus: job.shape.resources.gpus * tasks,
                 memory_gb: 0.0,
             });
-            let guarantee = self.teams_use[job.team.usize()].guarantee;
+            let guarantee = self.team_quotas[job.team.usize()].guarantee;
             if used.cpus <= guarantee.cpus + 1e-6 && used.gpus <= guarantee.gpus + 1e-6 {
                 guaranteed.insert(ix);
             }
@@ -258,7 +258,7 @@
 
     /// Live jobs none of whose tasks was placed for long, the oldest first.
     fn starving_jobs(&self) -> Vec<JobIx> {
-        let starving = self.jobs.iter().filter(|(_, job)| job.starving(self.wall));
+        let starving = self.jobs.iter().filter(|(_, job)| job.starving(self.wall_clock));
         let mut jobs: Vec<_> = starving.map(|(ix, job)| (job.accepted_ms, ix)).collect();
         jobs.sort_unstable();
         jobs.into_iter().map(|(_, ix)| ix).collect()
@@ -274,11 +274,11 @@
             .iter()
             .filter(|(_, job)| job.live() && job.waiting() > 0)
             .map(|(ix, job)| {
-                let old = job.old(self.wall);
+                let old = job.old(self.wall_clock);
                 let beyond = !old && !guaranteed.contains(&ix);
                 let priority = if old { Priority::Production } else { job.priority() };
                 // What can't be in time any more lets the others pass.
-                let missed = !old && job.spec.deadline_s.is_some() && self.wall > job.start_by_ms;
+                let missed = !old && job.spec.deadline_s.is_some() && self.wall_clock > job.start_by_ms;
                 (beyond, Reverse(priority), missed, job.start_by_ms, ix)
             })
             .collect();
@@ -375,10 +375,10 @@
             task,
             number: chunk.next,
             machine: machine_ix,
-            session: machine.session,
+            agent_epoch: machine.agent_epoch,
             written: false,
             writing: false,
-            seen: None,
+            observed_state: None,
             running_since: None,
             start_sent: None,
             start_answered: false,
@@ -388,14 +388,14 @@
         chunk.next += 1;
         chunk.dirty = true;
         job.take(task);
-        job.last_start_ms = self.wall;
+        job.last_start_ms = self.wall_clock;
         if job.waiting() == 0 {
             job.short_since = None;
             job.waiting_until = None;
         }
-        let room = job.shape.room;
-        self.teams_use[job.team.usize()].used.add(room);
-        machine.used.add(room);
+        let resources = job.shape.resources;
+        self.team_quotas[job.team.usize()].used.add(resources);
+        machine.used.add(resources);
         let cache_gb = self.type_info[machine.type_ix.usize()]
             .as_ref()
             .map_or(0.0, |info| info.cache_gb);
--- a/src/placement/preemption/candidates.rs
+++ b/src/placement/preemption/candidates.rs
@@ -4,7 +4,7 @@
 use crate::pipeline::Job;
 use crate::placement::{FullShapes, Shape};
 use crate::wire::Priority;
-use crate::workers::Room;
+use crate::workers::Resources;
 use std::collections::BTreeMap;
 
 /// A running task that may be stopped for one of higher priority.
@@ -12,7 +12,7 @@
 pub struct Victim {
     pub attempt: AttemptIx,
     pub priority: Priority,
-    pub room: Room,
+    pub resources: Resources,
     /// CPU seconds of work lost by stopping it.
     pub loss: f64,
 }
@@ -26,7 +26,7 @@
     pub spot: bool,
     pub images: Vec<ImageIx>,
     /// Free now, or as soon as what is being stopped has ended.
-    pub free: Room,
+    pub free: Resources,
     /// The lowest priority first, and of these the smallest loss.
     pub victims: Vec<Victim>,
 }
@@ -43,18 +43,18 @@
     }
 
     /// How many victims have to go, the first ones, for a task to fit.
-    fn victims_needed(&self, room: Room, priority: Priority) -> Option<usize> {
+    fn victims_needed(&self, resources: Resources, priority: Priority) -> Option<usize> {
         let mut free = self.free;
         for (count, victim) in self.victims.iter().enumerate() {
-            if free.fits(room) {
+            if free.fits(resources) {
                 return Some(count);
             }
             if victim.priority >= priority {
                 return None;
             }
-            free.add(victim.room);
+            free.add(victim.resources);
         }
-        free.fits(room).then_some(self.victims.len())
+        free.fits(resources).then_some(self.victims.len())
     }
 }
 
@@ -92,7 +92,7 @@
     }
 
     fn take(&mut self, candidate: &mut Candidate) {
-        candidate.free.take(self.shape.room);
+        candidate.free.take(self.shape.resources);
         self.count -= 1;
         if self.one_zone {
             self.zones = Some(vec![candidate.zone]);
@@ -102,7 +102,7 @@
     /// Counts on the room that is there without stopping anything more.
     fn take_free_room(&mut self, candidates: &mut [Candidate]) {
         for candidate in candidates {
-            while self.count > 0 && candidate.free.fits(self.shape.room) && self.allows(candidate) {
+            while self.count > 0 && candidate.free.fits(self.shape.resources) && self.allows(candidate) {
                 self.take(candidate);
             }
         }
@@ -124,11 +124,11 @@
 
     fn take_victims_of(&mut self, candidate: &mut Candidate, most: usize, stops: &mut Vec<AttemptIx>) {
         while self.count > 0 && stops.len() < most && self.allows(candidate) {
-            let Some(needed) = candidate.victims_needed(self.shape.room, self.priority) else {
+            let Some(needed) = candidate.victims_needed(self.shape.resources, self.priority) else {
                 return;
             };
             for victim in candidate.victims.drain(..needed) {
-                candidate.free.add(victim.room);
+                candidate.free.add(victim.resources);
                 stops.push(victim.attempt);
             }
             self.take(candidate);
--- a/src/placement/preemption/candidates/tests.rs
+++ b/src/placement/preemption/candidates/tests.rs
@@ -3,8 +3,8 @@
 
 const IMAGE: ImageIx = ImageIx(7);
 
-fn room(cpus: u32) -> Room {
-    Room {
+fn resources(cpus: u32) -> Resources {
+    Resources {
         cpus: f64::from(cpus),
         gpus: 0.0,
         memory_gb: 0.0,
@@ -20,7 +20,7 @@
     let victim = |&(cpus, priority, loss): &(u32, Priority, u32)| Victim {
         attempt: AttemptIx(0),
         priority,
-        room: room(cpus),
+        resources: resources(cpus),
         loss: f64::from(loss),
     };
     Candidate {
@@ -29,7 +29,7 @@
         zone: ZoneIx(0),
         spot: true,
         images: if holds { vec![IMAGE] } else { Vec::new() },
-        free: room(free),
+        free: resources(free),
         victims: victims.iter().map(victim).collect(),
     }
 }
@@ -58,7 +58,7 @@
 fn demand(cpus: u32, count: u32) -> Demand {
     Demand {
         shape: Shape {
-            room: room(cpus),
+            resources: resources(cpus),
             spot: true,
             ..Shape::default()
         },
@@ -77,8 +77,11 @@
     let mut short = Vec::new();
     for &(cpus, count) in wanted {
         for _ in 0..count {
-            match candidates.iter_mut().find(|candidate| candidate.free.fits(room(cpus))) {
-                Some(candidate) => candidate.free.take(room(cpus)),
+            match candidates
+                .iter_mut()
+                .find(|candidate| candidate.free.fits(resources(cpus)))
+            {
+                Some(candidate) => candidate.free.take(resources(cpus)),
                 None => short.push(cpus),
             }
         }
@@ -90,9 +93,9 @@
             (0..=below).find(|&count| {
                 let mut free = candidate.free;
                 for victim in &candidate.victims[..count] {
-                    free.add(victim.room);
+                    free.add(victim.resources);
                 }
-                free.fits(room(cpus))
+                free.fits(resources(cpus))
             })
         };
         let holders = candidates
@@ -105,10 +108,10 @@
         let count = needed(&candidates[place]).unwrap_or(0);
         let candidate = &mut candidates[place];
         for victim in candidate.victims.drain(..count) {
-            candidate.free.add(victim.room);
+            candidate.free.add(victim.resources);
             stops.push(victim.attempt);
         }
-        candidate.free.take(room(cpus));
+        candidate.free.take(resources(cpus));
     }
     stops
 }
--- a/src/placement/preemption/mod.rs
+++ b/src/placement/preemption/mod.rs
@@ -51,13 +51,13 @@
         let lowest = victims.map(|victim| victim.priority).min();
         let short = short_jobs.iter().filter_map(|&ix| self.jobs.get(ix));
         let outranking = short.filter(|job| lowest.is_some_and(|lowest| lowest < job.priority()));
-        let mut teams = self.teams_use.clone();
+        let mut teams = self.team_quotas.clone();
         let mut demands = Vec::new();
         for job in outranking {
             let team = &mut teams[job.team.usize()];
             let mut count = 0;
-            while count < job.waiting() && team.may_add(job.shape.room) {
-                team.used.add(job.shape.room);
+            while count < job.waiting() && team.allows(job.shape.resources) {
+                team.used.add(job.shape.resources);
                 count += 1;
             }
             demands.push(Demand::new(job, count, self.zones_open_to(job)));
@@ -83,7 +83,8 @@
         let highest = short.map(Job::priority).max();
         let mut by_machine: BTreeMap<MachineIx, Candidate> = BTreeMap::new();
         for (_, job) in self.jobs.iter() {
-            let yields = Some(job.priority()) < highest && job.spec.deadline_s.is_none() && job.has_slack(self.wall);
+            let yields =
+                Some(job.priority()) < highest && job.spec.deadline_s.is_none() && job.has_slack(self.wall_clock);
             for &attempt_ix in job.open.values() {
                 let Some(attempt) = self.attempts.get(attempt_ix) else {
                     continue;
@@ -97,12 +98,12 @@
                     continue;
                 };
                 if stopping {
-                    candidate.free.add(job.shape.room);
+                    candidate.free.add(job.shape.resources);
                 } else if let Some(loss) = loss {
                     candidate.victims.push(Victim {
                         attempt: attempt_ix,
                         priority: job.priority(),
-                        room: job.shape.room,
+                        resources: job.shape.resources,
                         loss,
                     });
                 }
@@ -134,7 +135,7 @@
                     zone: machine.zone,
                     spot: machine.spot,
                     images: machine.images.iter().map(|&(image, _)| image).collect(),
-                    free: info.room.less(machine.used),
+                    free: info.resources.minus(machine.used),
                     victims: Vec::new(),
                 }))
             }
@@ -143,7 +144,10 @@
 
     /// CPU seconds lost by stopping a task now. `None`: too much, or not worth it.
     fn loss_if_stopped(&self, now: Millis, job: &Job, attempt: &Attempt) -> Option<f64> {
-        if attempt.stop.is_some() || attempt.seen == Some(TaskState::Saving) || job.spec.estimate_s <= SHORT_TASK_S {
+        if attempt.stop.is_some()
+            || attempt.observed_state == Some(TaskState::Saving)
+            || job.spec.estimate_s <= SHORT_TASK_S
+        {
             return None;
         }
         let ran_s = attempt.running_since.map_or(0.0, |since| (now - since) as f64 / 1000.0);
@@ -153,7 +157,7 @@
         } else {
             ran_s
         };
-        (lost_s <= self.policy.preempt_lost_s).then_some(lost_s * job.shape.room.cpus)
+        (lost_s <= self.policy.preempt_lost_s).then_some(lost_s * job.shape.resources.cpus)
     }
 
     fn stop_victim(&mut self, now: Millis, attempt_ix: AttemptIx) {
@@ -165,11 +169,11 @@
             self.close(now, attempt_ix, Outcome::Lost);
             return;
         }
-        let running = attempt.seen == Some(TaskState::Running);
+        let running = attempt.observed_state == Some(TaskState::Running);
         let spec = self.jobs.get(attempt.job).map(|job| &job.spec);
         let save_s = spec.filter(|spec| running && spec.checkpoint_s > 0.0);
         attempt.stop = Some(save_s.map_or(0.0, |spec| spec.save_s));
-        self.to_push.insert(attempt.machine);
+        self.delivery_due.insert(attempt.machine);
     }
 
     /// Notes whether a job is short of room, and since when.
--- a/src/placement/preemption/tests.rs
+++ b/src/placement/preemption/tests.rs
@@ -24,7 +24,7 @@
 /// high-priority job (j-1, 4 CPUs a task) that has waited for a second.
 fn full_machine(saves: bool) -> Shard {
     let mut shard = shard_with(1, &[("large", 16.0)], 1, true);
-    shard.wall = NOW;
+    shard.wall_clock = NOW;
     shard.job_changed(0, "j-2", &backfill("j-2", saves), 2);
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
     let known = shard.machines.get_mut(machine).expect("there");
@@ -39,7 +39,7 @@
     for ix in attempts {
         let attempt = shard.attempts.get_mut(ix).expect("there");
         attempt.written = true;
-        attempt.seen = Some(TaskState::Running);
+        attempt.observed_state = Some(TaskState::Running);
         attempt.running_since = Some(NOW - 300_000);
     }
     let urgent = shard.jobs.find("j-1").expect("known");
@@ -59,7 +59,7 @@
     shard.preempt(NOW);
     assert_eq!(stops(&shard), [3.0], "one is enough for a task of 4 CPUs");
     shard.preempt(NOW + PREEMPT_EVERY_MS);
-    assert_eq!(stops(&shard).len(), 1, "its room is on its way");
+    assert_eq!(stops(&shard).len(), 1, "its resources is on its way");
 }
 
 #[test]
--- a/src/runtime/calls.rs
+++ b/src/runtime/calls.rs
@@ -70,7 +70,9 @@
         self.run(&self.events, async move {
             let (method, path, body) = match &request {
                 CloudRequest::Catalogue => (Method::GET, "/catalog".into(), Vec::new()),
-                CloudRequest::Rental(rental) => (Method::POST, "/machines".into(), json(rental)),
+                CloudRequest::RequestMachines(machine_request) => {
+                    (Method::POST, "/machines".into(), json(machine_request))
+                }
                 CloudRequest::Delete(names) => (Method::POST, "/machines/delete".into(), json(names)),
                 CloudRequest::List { after } => (Method::GET, format!("/machines?since={after}&limit=500"), Vec::new()),
             };
@@ -92,7 +94,7 @@
                         .await;
                     worker_reply(response)
                 }
-                Err(_) => WorkerReply::NotSent,
+                Err(_) => WorkerReply::NotDelivered,
             };
             Input::Worker { call, reply }
         });
@@ -146,7 +148,7 @@
     let (status, body) = match response {
         Ok(response) => response,
         Err(Failure::NotSent) => return StoreReply::Unavailable,
-        Err(Failure::Lost) => return StoreReply::Lost,
+        Err(Failure::Lost) => return StoreReply::Unanswered,
     };
     let reply = match (request, status) {
         (_, 429) => Some(StoreReply::Throttled),
@@ -179,7 +181,7 @@
     // Whatever else it says, it may have done it.
     reply.unwrap_or_else(|| {
         tracing::warn!(status, body = %String::from_utf8_lossy(&body), "unexpected answer of the state service");
-        StoreReply::Lost
+        StoreReply::Unanswered
     })
 }
 
@@ -187,19 +189,19 @@
     let (status, body) = match response {
         Ok(response) => response,
         Err(Failure::NotSent) => return CloudReply::Unavailable,
-        Err(Failure::Lost) => return CloudReply::Lost,
+        Err(Failure::Lost) => return CloudReply::Unanswered,
     };
     let reply = match (request, status) {
         (CloudRequest::Catalogue, 200) => read(&body).map(CloudReply::Catalogue),
-        (CloudRequest::Rental(_), 200) => read(&body).map(CloudReply::Rented),
-        (CloudRequest::Rental(_), 503) if no_capacity(&body) => Some(CloudReply::NoCapacity),
-        (CloudRequest::Rental(_), 400) => Some(CloudReply::Malformed),
+        (CloudRequest::RequestMachines(_), 200) => read(&body).map(CloudReply::Provisioned),
+        (CloudRequest::RequestMachines(_), 503) if no_capacity(&body) => Some(CloudReply::NoCapacity),
+        (CloudRequest::RequestMachines(_), 400) => Some(CloudReply::Malformed),
         (CloudRequest::Delete(_), 200) => Some(CloudReply::Deleted),
         (CloudRequest::List { .. }, 200) => read(&body).map(CloudReply::Listed),
         (_, 429 | 503) => Some(CloudReply::Unavailable),
         _ => None,
     };
-    reply.unwrap_or(CloudReply::Lost)
+    reply.unwrap_or(CloudReply::Unanswered)
 }
 
 /// The cloud says 503 both when it has no such machine and during an outage.
@@ -210,10 +212,10 @@
 
 fn worker_reply(response: Result<(u16, Bytes), Failure>) -> WorkerReply {
     match response {
-        Ok((200, body)) => read(&body).map_or(WorkerReply::Lost, WorkerReply::Done),
-        Ok((409, body)) => read(&body).map_or(WorkerReply::NotSent, WorkerReply::Refused),
-        Ok((400, _)) => WorkerReply::NotSent,
-        Ok(_) | Err(Failure::Lost) => WorkerReply::Lost,
-        Err(Failure::NotSent) => WorkerReply::NotSent,
+        Ok((200, body)) => read(&body).map_or(WorkerReply::Unanswered, WorkerReply::Executed),
+        Ok((409, body)) => read(&body).map_or(WorkerReply::NotDelivered, WorkerReply::Refused),
+        Ok((400, _)) => WorkerReply::NotDelivered,
+        Ok(_) | Err(Failure::Lost) => WorkerReply::Unanswered,
+        Err(Failure::NotSent) => WorkerReply::NotDelivered,
     }
 }
--- a/src/runtime/front.rs
+++ b/src/runtime/front.rs
@@ -2,7 +2,7 @@
 
 use super::Event;
 use crate::admission::{busy, text};
-use crate::peers::{Answer, Ask};
+use crate::peers::{Answer, UserRequest};
 use poem::http::{Method, StatusCode};
 use poem::{Endpoint, Request, Response};
 use std::sync::Arc;
@@ -52,8 +52,8 @@
                 None => text(400, "the body is too long or broken"),
             },
             (method, path) => match (method, job_path(path)) {
-                (Method::GET, Some((id, None))) => self.ask(Ask::Show(id.into())).await,
-                (Method::POST, Some((id, Some("abort")))) => self.ask(Ask::Cancel(id.into())).await,
+                (Method::GET, Some((id, None))) => self.ask(UserRequest::Show(id.into())).await,
+                (Method::POST, Some((id, Some("abort")))) => self.ask(UserRequest::Cancel(id.into())).await,
                 (_, Some((_, None | Some("abort")))) => text(405, "method not allowed"),
                 _ if matches!(path, "/healthz" | "/checkin" | "/v1/jobs") => text(405, "method not allowed"),
                 _ => text(404, "no such path"),
@@ -117,13 +117,14 @@
             return busy("too many requests at once");
         };
         match String::from_utf8(body) {
-            Ok(body) => self.ask(Ask::Submit(body)).await,
+            Ok(body) => self.ask(UserRequest::Submit(body)).await,
             Err(_) => text(400, "not UTF-8"),
         }
     }
 
-    async fn ask(&self, ask: Ask) -> Answer {
-        self.send(&self.users, |reply| Event::Ask { ask, reply }).await
+    async fn ask(&self, user_request: UserRequest) -> Answer {
+        self.send(&self.users, |reply| Event::UserRequest { user_request, reply })
+            .await
     }
 
     async fn send(&self, to: &mpsc::Sender<Event>, event: impl FnOnce(oneshot::Sender<Answer>) -> Event) -> Answer {
--- a/src/runtime/http_server/tests.rs
+++ b/src/runtime/http_server/tests.rs
@@ -59,7 +59,7 @@
 
 /// Guards against connections kept open for the next report while others
 /// wait for one: with one controller left, the workers that came last found
-/// no room until their leases had lapsed.
+/// no room until their leases had expired.
 #[tokio::test(flavor = "current_thread")]
 async fn more_clients_than_connections_all_get_their_answer() {
     let (address, _) = serve_health(3, true).await;
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -11,7 +11,7 @@
 pub use client::{Client, Failure};
 
 use crate::controller::{Controller, Input, Output};
-use crate::peers::{Answer, Ask, Message};
+use crate::peers::{Answer, Message, UserRequest};
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::wire::Report;
@@ -32,9 +32,9 @@
 /// What the HTTP server and the calls hand to the event loop.
 pub enum Event {
     /// A user asks.
-    Ask {
+    UserRequest {
         /// What is asked.
-        ask: Ask,
+        user_request: UserRequest,
         /// Takes the answer.
         reply: oneshot::Sender<Answer>,
     },
@@ -71,8 +71,8 @@
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         Now {
             // Times start well above 0, so that "long ago" can be told.
-            steady: self.start.elapsed().as_millis() as Millis + 1_000_000,
-            wall: wall.map_or(0, |wall| wall.as_millis() as u64),
+            monotonic: self.start.elapsed().as_millis() as Millis + 1_000_000,
+            wall_clock: wall.map_or(0, |wall| wall.as_millis() as u64),
         }
     }
 }
@@ -163,16 +163,16 @@
             };
             let input = self.input(event);
             for output in self.controller.step(self.clock.now(), input) {
-                self.carry_out(output);
+                self.apply_effects(output);
             }
         }
     }
 
     fn input(&mut self, event: Event) -> Input {
         match event {
-            Event::Ask { ask, reply } => Input::User {
+            Event::UserRequest { user_request, reply } => Input::User {
                 request: self.expect(reply),
-                ask,
+                user_request,
             },
             Event::Health { reply } => Input::Health {
                 request: self.expect(reply),
@@ -191,7 +191,7 @@
         self.next_request
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn apply_effects(&mut self, output: Output) {
         match output {
             Output::Answer { request, answer } => {
                 if let Some(reply) = self.waiting.remove(&request) {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -15,7 +15,7 @@
     Invalid { field: String, reason: String },
 }
 
-/// Drift of two clocks against each other, and time for a lapse to be noticed.
+/// Drift of two clocks against each other, and time for an expiry to be noticed.
 const DRIFT: f64 = 1.002;
 const SETTLE_S: f64 = 1.0;
 /// Watched keys are read once a second; two reads in a row may fail.
@@ -167,14 +167,14 @@
     }
 
     /// After this much time without an answer a worker has surely dropped its tasks.
-    pub fn lapse_ms(&self) -> crate::Millis {
+    pub fn lease_expiry_ms(&self) -> crate::Millis {
         crate::millis(self.params.workers.lease_s * DRIFT) + crate::millis(SETTLE_S)
     }
 
     /// How old the leader's knowledge of cancellations may be while it answers
     /// workers: from the confirmation of a cancellation until the lease that the
-    /// last answer renewed has surely lapsed, no more than `cancel_s` may pass.
-    pub fn watch_cache_age_ms(&self) -> crate::Millis {
+    /// last answer renewed has surely expired, no more than `cancel_s` may pass.
+    pub fn max_watch_cache_age_ms(&self) -> crate::Millis {
         let workers = &self.params.workers;
         let rest_s = workers.cancel_s - workers.lease_s * DRIFT - SETTLE_S;
         crate::millis(rest_s).clamp(LEAST_WATCH_CACHE_AGE_MS, MOST_WATCH_CACHE_AGE_MS)
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -63,10 +63,10 @@
 fn the_age_of_the_watch_cache_fits_into_the_time_to_cancel() {
     let with = |cancel_s: &str| Settings::parse(&SAMPLE.replace("cancel_s = 65.0", cancel_s)).expect("valid");
     let plenty = with("cancel_s = 65.0");
-    assert_eq!(plenty.watch_cache_age_ms(), MOST_WATCH_CACHE_AGE_MS);
+    assert_eq!(plenty.max_watch_cache_age_ms(), MOST_WATCH_CACHE_AGE_MS);
     assert!(plenty.warnings().is_empty());
     let tight = with("cancel_s = 50.0");
-    let sum = tight.watch_cache_age_ms() as f64 / 1000.0 + 45.0 * DRIFT + SETTLE_S;
+    let sum = tight.max_watch_cache_age_ms() as f64 / 1000.0 + 45.0 * DRIFT + SETTLE_S;
     assert!(sum <= 50.0 && tight.warnings().is_empty(), "{sum}");
     let short = with("cancel_s = 46.0");
     assert!(short.warnings()[0].contains("params.workers.cancel_s"));
--- a/src/store/budget.rs
+++ b/src/store/budget.rs
@@ -3,15 +3,15 @@
 /// A token bucket that holds at most half a second's worth, so that the sum of
 /// all controllers' bursts stays within the service's own allowance.
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     level: f64,
     filled_at: Millis,
 }
 
-impl Bucket {
-    pub fn new(rate: f64) -> Bucket {
-        Bucket {
+impl TokenBucket {
+    pub fn new(rate: f64) -> TokenBucket {
+        TokenBucket {
             rate,
             level: rate / 2.0,
             filled_at: 0,
--- a/src/store/budget/tests.rs
+++ b/src/store/budget/tests.rs
@@ -6,7 +6,7 @@
     fn spending_never_exceeds_the_rate_and_one_burst(
         rate in 1.0f64..500.0, gaps in proptest::collection::vec(0u64..50, 1..300)
     ) {
-        let mut bucket = Bucket::new(rate);
+        let mut bucket = TokenBucket::new(rate);
         let (mut now, mut spent) = (0, 0.0);
         for gap in gaps {
             now += gap;
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -4,7 +4,7 @@
 mod budget;
 mod watch_cache;
 
-pub use budget::Bucket;
+pub use budget::TokenBucket;
 pub use watch_cache::{JobKey, LeaderValue, WatchCache, WatchedChange};
 
 use crate::wire::{Entry, Log, Page, Transaction};
@@ -42,7 +42,7 @@
     }
 }
 
-/// What came of it. `Lost` means that it may or may not have been executed, or
+/// What came of it. `Unanswered` means that it may or may not have been executed, or
 /// may yet be; `Unavailable` and `Throttled` that it was not.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
@@ -58,7 +58,7 @@
     TooOld,
     Throttled,
     Unavailable,
-    Lost,
+    Unanswered,
 }
 
 /// Key names. The watched prefix stays small: whatever every controller must
@@ -121,11 +121,11 @@
         format!("kept/{}/roster/{group}", self.shard)
     }
 
-    pub fn rentals(&self) -> String {
+    pub fn machine_requests(&self) -> String {
         format!("kept/{}/hire/", self.shard)
     }
 
-    pub fn rental(&self, request: &str) -> String {
+    pub fn machine_request(&self, request: &str) -> String {
         format!("kept/{}/hire/{request}", self.shard)
     }
 }
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -1,5 +1,5 @@
 use super::Keys;
-use crate::wire::{Event, JobSpec, Page, Standing};
+use crate::wire::{Event, JobSpec, JobState, Page};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -7,8 +7,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderValue {
     pub node: String,
-    /// Tells one life of a process from the next.
-    pub life: u64,
+    /// Tells one incarnation of a process from the next.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     pub term: u64,
 }
 
@@ -19,7 +20,7 @@
     pub spec: JobSpec,
     pub accepted_ms: u64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ended: Option<Standing>,
+    pub ended: Option<JobState>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -66,7 +66,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum JobState {
     #[serde(rename = "queued")]
     Queued,
     #[serde(rename = "running")]
@@ -82,7 +82,7 @@
 pub struct JobStatus {
     pub id: String,
     #[serde(rename = "standing")]
-    pub state: Standing,
+    pub state: JobState,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -104,7 +104,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum ExitReason {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "stopped")]
@@ -130,7 +130,7 @@
     #[serde(rename = "standing")]
     pub state: TaskState,
     #[serde(rename = "passReason", default)]
-    pub why: Option<Why>,
+    pub exit_reason: Option<ExitReason>,
 }
 
 /// What a worker says of itself and its tasks.
@@ -146,11 +146,11 @@
     #[serde(rename = "loaner")]
     pub spot: bool,
     #[serde(rename = "saleDay")]
-    pub session: u64,
+    pub agent_epoch: u64,
     #[serde(rename = "paddleCount")]
     pub seq: u64,
     #[serde(rename = "gavel")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "lots")]
@@ -188,7 +188,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportAnswer {
     #[serde(rename = "gavel")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "calls")]
     pub commands: Vec<Command>,
 }
@@ -203,9 +203,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
     #[serde(rename = "gavel")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "saleDay")]
-    pub session: u64,
+    pub agent_epoch: u64,
     #[serde(rename = "calls")]
     pub commands: Vec<Command>,
 }
@@ -240,7 +240,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RentalRequest {
+pub struct MachineRequest {
     #[serde(rename = "hireSlip")]
     pub request: String,
     #[serde(rename = "rig")]
@@ -253,7 +253,7 @@
     pub count: u32,
 }
 
-/// Machine names: what a rental returns and a deletion asks for.
+/// Machine names: what a machine request returns and a deletion asks for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
     #[serde(rename = "stalls")]
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -7,8 +7,8 @@
           "lots":[{"lot":"j-000412/3","relist":2,"standing":"running"},
                   {"lot":"j-000398/0","relist":1,"standing":"ended","passReason":"done"}]}"#;
     let report: Report = serde_json::from_str(text).expect("valid");
-    assert_eq!(report.tasks[1].why, Some(Why::Done));
-    assert_eq!((report.session, report.seq, report.token), (1, 88, 41));
+    assert_eq!(report.tasks[1].exit_reason, Some(ExitReason::Done));
+    assert_eq!((report.agent_epoch, report.seq, report.fencing_token), (1, 88, 41));
 }
 
 #[test]
--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -12,7 +12,7 @@
 
 /// A machine on which a task failed gets no new tasks for this long, so that a
 /// sick one can't swallow a whole queue.
-const REST_MS: Millis = 5_000;
+const FAILURE_CORDON_MS: Millis = 5_000;
 /// Failures of jobs that got on elsewhere, after which a machine is sick.
 const PROVEN_FAILURES: u32 = 3;
 /// Jobs that failed here since the last success, after which it is sick: fewer if
@@ -50,8 +50,8 @@
         }
         let known = machine.failing.contains(&attempt.job);
         // Tasks that fail together on one machine say no more than one of them.
-        let counts = !known || now >= machine.rest_until;
-        machine.rest_until = now + REST_MS;
+        let counts = !known || now >= machine.cordoned_until;
+        machine.cordoned_until = now + FAILURE_CORDON_MS;
         if !known {
             machine.failing.push(attempt.job);
         }
--- a/src/workers/attribution/tests.rs
+++ b/src/workers/attribution/tests.rs
@@ -81,5 +81,5 @@
         fail(&mut shard, 1_000, job, FIRST_MACHINE);
     }
     assert_eq!(shard.jobs.get(job).expect("there").errors, 1);
-    assert!(shard.machines.get(FIRST_MACHINE).expect("there").rest_until > 1_000);
+    assert!(shard.machines.get(FIRST_MACHINE).expect("there").cordoned_until > 1_000);
 }
--- a/src/workers/drain.rs
+++ b/src/workers/drain.rs
@@ -14,10 +14,10 @@
             let Some(machine) = self.machines.get(ix) else {
                 continue;
             };
-            let Some(taken_at) = machine.taken_at else {
+            let Some(spot_reclaim_at) = machine.spot_reclaim_at else {
                 continue;
             };
-            let left_s = taken_at.saturating_sub(now) as f64 / 1000.0;
+            let left_s = spot_reclaim_at.saturating_sub(now) as f64 / 1000.0;
             let mut stopped = false;
             for open in machine.open.clone() {
                 let Some(attempt) = self.attempts.get_mut(open) else {
@@ -26,13 +26,13 @@
                 let Some(job) = self.jobs.get(attempt.job) else {
                     continue;
                 };
-                if attempt.stop.is_some() || attempt.seen.is_none() {
+                if attempt.stop.is_some() || attempt.observed_state.is_none() {
                     continue;
                 }
                 let ran_s = attempt.running_since.map_or(0.0, |since| (now - since) as f64 / 1000.0);
                 let spec = &job.spec;
                 let finishes = spec.estimate_s - ran_s < left_s;
-                let saves = spec.checkpoint_s > 0.0 && attempt.seen == Some(TaskState::Running);
+                let saves = spec.checkpoint_s > 0.0 && attempt.observed_state == Some(TaskState::Running);
                 let grace_s = if saves && spec.save_s < left_s {
                     if left_s > spec.save_s + MARGIN_S {
                         continue;
@@ -47,7 +47,7 @@
                 stopped = true;
             }
             if stopped {
-                self.to_push.insert(ix);
+                self.delivery_due.insert(ix);
             }
         }
     }
