--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -1,8 +1,8 @@
-use super::{MISSES_TO_REST, Outcome, command_for, split_task};
+use super::{MISSED_ANSWERS_TO_CORDON, Outcome, command_for, split_task};
 use crate::Millis;
 use crate::controller::Shard;
 use crate::ids::{AttemptIx, ChunkId, MachineIx};
-use crate::wire::{Command, Report, TaskState, Why};
+use crate::wire::{Command, ExitReason, Report, TaskState};
 
 /// A worker drops a report's answer after 4 s; a command in it is then dead.
 const ANSWER_LIFE_MS: Millis = 4_500;
@@ -16,83 +16,86 @@
 
 /// How a report came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Path {
+pub enum ReportPath {
     /// By itself: it may be a copy, seconds or minutes late.
-    Sent,
+    Heartbeat,
     /// As the answer to a direct command of this term.
-    Answered,
+    CommandReply,
 }
 
 /// What became of a report.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Merged {
     /// The newest of its machine.
-    New(MachineIx),
+    Newest(MachineIx),
     /// Older than one already merged: its task list means nothing now.
-    Old,
-    /// Its worker has seen a token above ours: somebody else is the leader.
+    Stale,
+    /// Its worker has seen a fencing token above ours: somebody else is the leader.
     Outranked,
     /// From a machine already deleted.
-    Gone,
+    MachineDeleted,
 }
 
 impl Shard {
     /// Merges a report, whether it came by itself or answered direct commands.
-    pub fn merge_report(&mut self, now: Millis, report: &Report, path: Path) -> Merged {
-        if report.token > self.term {
+    pub fn merge_report(&mut self, now: Millis, report: &Report, path: ReportPath) -> Merged {
+        if report.fencing_token > self.term {
             return Merged::Outranked;
         }
         if self.tombstones.contains_key(&report.machine) {
-            return Merged::Gone;
+            return Merged::MachineDeleted;
         }
         let ix = match self.machines.find(&report.machine) {
             Some(ix) => ix,
             // Not rented by anybody we know of, or rented late: it is used, or
             // returned once idle, like any other.
-            None => self.add_hearsay(now, report),
+            None => self.add_unverified(now, report),
         };
-        let fresh = path == Path::Answered || report.token == self.term;
-        if path == Path::Answered {
-            self.enrol(ix);
+        let fresh = path == ReportPath::CommandReply || report.fencing_token == self.term;
+        if path == ReportPath::CommandReply {
+            self.add_to_inventory(ix);
         }
         let interval_ms = crate::millis(self.longest_report_interval_s());
         let Some(machine) = self.machines.get_mut(ix) else {
-            return Merged::Gone;
+            return Merged::MachineDeleted;
         };
-        if (report.session, report.seq) <= (machine.session, machine.seq) {
-            return Merged::Old;
+        if (report.agent_epoch, report.seq) <= (machine.agent_epoch, machine.seq) {
+            return Merged::Stale;
         }
-        let new_session = report.session > machine.session;
+        let is_new_epoch = report.agent_epoch > machine.agent_epoch;
         if machine.address.as_deref() != Some(report.address.as_str()) {
             machine.address = Some(report.address.clone());
             self.inventory.late.extend(machine.group);
         }
-        machine.session = report.session;
+        machine.agent_epoch = report.agent_epoch;
         machine.seq = report.seq;
-        machine.token = machine.token.max(report.token);
+        machine.fencing_token = machine.fencing_token.max(report.fencing_token);
         if fresh {
             if machine.heard_at.is_none() {
                 machine.idle_since = now;
-                self.room_changed = true;
+                self.capacity_changed = true;
             }
             machine.heard_at = Some(now);
             machine.report_due = now + interval_ms + LATE_MS;
-            machine.unanswered = false;
+            machine.has_unanswered_command = false;
         } else {
             machine.known_up_at.get_or_insert(now);
         }
-        machine.taken_at = report.notice_s.map(|left| now + crate::millis(left));
-        if new_session {
-            if path == Path::Sent && machine.heard_at.is_some() && now < machine.answered_at + self.lapse_ms / 2 {
+        machine.spot_reclaim_at = report.notice_s.map(|left| now + crate::millis(left));
+        if is_new_epoch {
+            if path == ReportPath::Heartbeat
+                && machine.heard_at.is_some()
+                && now < machine.answered_at + self.lease_expiry_ms / 2
+            {
                 // Its lease ran out although it was answered: not by us, then.
-                machine.misses += MISSES_TO_REST;
+                machine.missed_answers += MISSED_ANSWERS_TO_CORDON;
             }
-            machine.doubt = 0;
-            // A session has its whole lease from its beginning, answered or not.
+            machine.unconfirmed_start_term = 0;
+            // A agent epoch has its whole lease from its beginning, answered or not.
             machine.answered_at = machine.answered_at.max(now);
         }
         let open = machine.open.clone();
-        machine.strays.clear();
+        machine.unmatched_tasks.clear();
 
         let mut listed = Vec::with_capacity(report.tasks.len());
         for task in &report.tasks {
@@ -101,7 +104,7 @@
                     self.attempts.get(attempt).is_some_and(|a| {
                         a.task == number
                             && a.number == task.attempt
-                            && a.session == report.session
+                            && a.agent_epoch == report.agent_epoch
                             && self.jobs.get(a.job).is_some_and(|j| j.id == job)
                     })
                 })
@@ -110,42 +113,45 @@
             if (found.is_none() || task.state == TaskState::Exited)
                 && let Some(machine) = self.machines.get_mut(ix)
             {
-                machine.strays.push(task.clone());
+                machine.unmatched_tasks.push(task.clone());
             }
             if let Some(attempt) = found {
                 listed.push(attempt);
-                self.see(now, attempt, task.state, task.why);
+                self.observe(now, attempt, task.state, task.exit_reason);
             }
         }
-        let mut unseen = report.token < self.term;
+        let mut unseen = report.fencing_token < self.term;
         for attempt in open {
             if !listed.contains(&attempt) {
                 unseen |= self
                     .attempts
                     .get(attempt)
-                    .is_some_and(|attempt| attempt.start_answered && attempt.session == report.session);
-                self.missing(now, attempt, report);
+                    .is_some_and(|attempt| attempt.start_answered && attempt.agent_epoch == report.agent_epoch);
+                self.observe_missing(now, attempt, report);
             }
         }
         if let Some(machine) = self.machines.get_mut(ix)
-            && (path == Path::Answered || std::mem::take(&mut machine.expecting))
+            && (path == ReportPath::CommandReply || std::mem::take(&mut machine.expects_effect))
         {
-            machine.misses = match path {
-                Path::Sent if unseen => machine.misses + 1,
+            machine.missed_answers = match path {
+                ReportPath::Heartbeat if unseen => machine.missed_answers + 1,
                 _ => 0,
             };
         }
         // A start of this term that may still arrive keeps ended tasks listed, and
         // reports may not grow without end.
-        self.withdraw |= self.machines.get(ix).is_some_and(|machine| {
-            let ended = machine.strays.iter().filter(|stray| stray.state == TaskState::Exited);
-            machine.doubt >= self.term && ended.count() >= MANY_ENDED
+        self.needs_higher_term |= self.machines.get(ix).is_some_and(|machine| {
+            let ended = machine
+                .unmatched_tasks
+                .iter()
+                .filter(|unmatched| unmatched.state == TaskState::Exited);
+            machine.unconfirmed_start_term >= self.term && ended.count() >= MANY_ENDED
         });
-        if self.machines.get(ix).is_some_and(|machine| machine.misses > 0) {
+        if self.machines.get(ix).is_some_and(|machine| machine.missed_answers > 0) {
             // An answer to a direct command clears it at once.
-            self.to_push.insert(ix);
+            self.delivery_due.insert(ix);
         }
-        Merged::New(ix)
+        Merged::Newest(ix)
     }
 
     /// What a report is answered with, and so what the next one must show.
@@ -155,34 +161,34 @@
             return commands;
         };
         machine.answered_at = now;
-        machine.expecting = machine.token < self.term;
+        machine.expects_effect = machine.fencing_token < self.term;
         for &open in &machine.open {
             if let Some(attempt) = self.attempts.get_mut(open) {
-                attempt.start_answered = attempt.written && attempt.seen.is_none() && attempt.stop.is_none();
-                machine.expecting |= attempt.start_answered;
+                attempt.start_answered = attempt.written && attempt.observed_state.is_none() && attempt.stop.is_none();
+                machine.expects_effect |= attempt.start_answered;
             }
         }
         // One that seems not to be reached is asked directly as well: where nothing
         // is expected of it, no report could ever clear it.
-        if machine.misses == 0 {
-            self.to_push.remove(&ix);
+        if machine.missed_answers == 0 {
+            self.delivery_due.remove(&ix);
         }
         commands
     }
 
-    fn see(&mut self, now: Millis, ix: AttemptIx, state: TaskState, why: Option<Why>) {
+    fn observe(&mut self, now: Millis, ix: AttemptIx, state: TaskState, exit_reason: Option<ExitReason>) {
         if state == TaskState::Exited {
-            let outcome = match why {
-                Some(Why::Done) => Outcome::Done,
-                Some(Why::Error) => Outcome::Error,
-                Some(Why::Stopped) => Outcome::Stopped,
+            let outcome = match exit_reason {
+                Some(ExitReason::Done) => Outcome::Done,
+                Some(ExitReason::Error) => Outcome::Error,
+                Some(ExitReason::Stopped) => Outcome::Stopped,
                 _ => Outcome::Refused,
             };
             self.close(now, ix, outcome);
             return;
         }
         if let Some(attempt) = self.attempts.get_mut(ix) {
-            attempt.seen = Some(state);
+            attempt.observed_state = Some(state);
             if state == TaskState::Running && attempt.running_since.is_none() {
                 attempt.running_since = Some(now);
             }
@@ -190,16 +196,16 @@
     }
 
     /// An open attempt that its machine's newest report does not list.
-    fn missing(&mut self, now: Millis, ix: AttemptIx, report: &Report) {
+    fn observe_missing(&mut self, now: Millis, ix: AttemptIx, report: &Report) {
         let Some(attempt) = self.attempts.get_mut(ix) else {
             return;
         };
-        if attempt.session < report.session {
-            // The worker forgot all tasks of its earlier sessions.
+        if attempt.agent_epoch < report.agent_epoch {
+            // The worker forgot all tasks of its earlier agent epochs.
             self.close(now, ix, Outcome::Lost);
             return;
         }
-        attempt.seen = None;
+        attempt.observed_state = None;
         attempt.running_since = None;
         if attempt.stop.is_none() || !attempt.written {
             return;
@@ -210,14 +216,15 @@
         let Some(machine) = self.machines.get(attempt.machine) else {
             return;
         };
-        let in_flight = machine.push.in_flight && machine.push.starts;
-        let doubtful = in_flight || (machine.doubt > 0 && machine.doubt >= report.token);
-        if answer_dead && !doubtful {
+        let in_flight = machine.delivery.in_flight && machine.delivery.has_starts;
+        let unconfirmed =
+            in_flight || (machine.unconfirmed_start_term > 0 && machine.unconfirmed_start_term >= report.fencing_token);
+        if answer_dead && !unconfirmed {
             self.withdraw_record(now, ix);
-        } else if answer_dead && machine.doubt >= self.term {
+        } else if answer_dead && machine.unconfirmed_start_term >= self.term {
             // Starts of earlier terms are withdrawn already, once the worker
             // sees ours; only one of our own term calls for a higher.
-            self.withdraw = true;
+            self.needs_higher_term = true;
         }
     }
 
@@ -247,16 +254,17 @@
             return Vec::new();
         };
         let mut commands = Vec::new();
-        let forget_safe = machine.doubt < self.term && !(machine.push.in_flight && machine.push.starts);
-        for stray in &machine.strays {
-            let (task, attempt) = (stray.task.clone(), stray.attempt);
-            if stray.state != TaskState::Exited {
+        let forget_safe =
+            machine.unconfirmed_start_term < self.term && !(machine.delivery.in_flight && machine.delivery.has_starts);
+        for unmatched in &machine.unmatched_tasks {
+            let (task, attempt) = (unmatched.task.clone(), unmatched.attempt);
+            if unmatched.state != TaskState::Exited {
                 commands.push(Command::Stop {
                     task,
                     attempt,
                     grace_s: 0.0,
                 });
-            } else if forget_safe && self.outcome_written(&stray.task) {
+            } else if forget_safe && self.outcome_written(&unmatched.task) {
                 commands.push(Command::Forget { task, attempt });
             }
         }
@@ -264,7 +272,7 @@
             let Some(attempt) = self.attempts.get_mut(open) else {
                 continue;
             };
-            if !attempt.written || attempt.session != machine.session {
+            if !attempt.written || attempt.agent_epoch != machine.agent_epoch {
                 continue;
             }
             let Some(job) = self.jobs.get(attempt.job) else {
@@ -299,18 +307,18 @@
         !job.complete() && job.chunks.get(chunk).is_none_or(|chunk| chunk.written())
     }
 
-    /// Closes everything on machines whose worker's lease has surely lapsed.
-    pub fn close_lapsed(&mut self, now: Millis) {
+    /// Closes everything on machines whose worker's lease has surely expired.
+    pub fn close_expired(&mut self, now: Millis) {
         for ix in self.machines.indices() {
             let Some(machine) = self.machines.get(ix) else {
                 continue;
             };
-            if machine.open.is_empty() || now <= machine.answered_at + self.lapse_ms {
+            if machine.open.is_empty() || now <= machine.answered_at + self.lease_expiry_ms {
                 continue;
             }
-            let session = machine.session;
+            let agent_epoch = machine.agent_epoch;
             for attempt in machine.open.clone() {
-                if self.attempts.get(attempt).is_some_and(|a| a.session <= session) {
+                if self.attempts.get(attempt).is_some_and(|a| a.agent_epoch <= agent_epoch) {
                     self.close(now, attempt, Outcome::Lost);
                 }
             }
--- a/src/workers/merge/tests.rs
+++ b/src/workers/merge/tests.rs
@@ -5,7 +5,7 @@
 
 const MINUTE: Millis = 60_000;
 
-/// A shard of term 5 with one machine heard in session 1 and one job of a
+/// A shard of term 5 with one machine heard in agent epoch 1 and one job of a
 /// single task placed and written there.
 fn shard() -> (Shard, MachineIx) {
     shard_of(1)
@@ -13,7 +13,7 @@
 
 fn shard_of(tasks: u32) -> (Shard, MachineIx) {
     let mut shard = shard_with(5, &[("small", 8.0)], tasks, false);
-    shard.merge_report(0, &report(1, 1, 5, Vec::new()), Path::Answered);
+    shard.merge_report(0, &report(1, 1, 5, Vec::new()), ReportPath::CommandReply);
     let machine = shard.machines.find("host-1").expect("known");
     let known = shard.machines.get_mut(machine).expect("there");
     known.written = true;
@@ -25,27 +25,27 @@
     (shard, machine)
 }
 
-fn report(session: u64, seq: u64, token: u64, tasks: Vec<TaskReport>) -> Report {
+fn report(agent_epoch: u64, seq: u64, fencing_token: u64, tasks: Vec<TaskReport>) -> Report {
     Report {
         machine: "host-1".into(),
         address: "127.0.0.1:9".into(),
         machine_type: "small".into(),
         zone: "north".into(),
         spot: false,
-        session,
+        agent_epoch,
         seq,
-        token,
+        fencing_token,
         notice_s: None,
         tasks,
     }
 }
 
-fn task(state: TaskState, why: Option<Why>) -> TaskReport {
+fn task(state: TaskState, exit_reason: Option<ExitReason>) -> TaskReport {
     TaskReport {
         task: "j-1/0".into(),
         attempt: 1,
         state,
-        why,
+        exit_reason,
     }
 }
 
@@ -58,13 +58,13 @@
     let (mut shard, machine) = shard();
     let attempt = shard.machines.get(machine).expect("there").open[0];
     shard.attempts.get_mut(attempt).expect("open").stop = Some(0.0);
-    shard.machines.get_mut(machine).expect("there").doubt = 5;
-    shard.merge_report(MINUTE, &report(1, 2, 5, Vec::new()), Path::Sent);
+    shard.machines.get_mut(machine).expect("there").unconfirmed_start_term = 5;
+    shard.merge_report(MINUTE, &report(1, 2, 5, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(open(&shard), 1);
-    assert!(shard.withdraw);
-    // A higher token seen by the worker withdraws whatever is on its way.
+    assert!(shard.needs_higher_term);
+    // A higher fencing token seen by the worker withdraws whatever is on its way.
     shard.term = 6;
-    shard.merge_report(MINUTE, &report(1, 3, 6, Vec::new()), Path::Sent);
+    shard.merge_report(MINUTE, &report(1, 3, 6, Vec::new()), ReportPath::Heartbeat);
     closes_once_its_record_is_gone(&mut shard);
 }
 
@@ -79,7 +79,7 @@
         version: 1,
     };
     assert_eq!(open(shard), 1);
-    let used = shard.teams_use[0].used.cpus;
+    let used = shard.team_quotas[0].used.cpus;
     assert!(used > 0.0 && shard.starts_wait());
     let written = shard
         .next_transaction(MINUTE, &keys, claim.clone(), 48, 48)
@@ -91,11 +91,11 @@
     assert_eq!(record, Some(serde_json::json!([])));
     // Not applied: considered again, and the room stays taken.
     shard.not_applied();
-    assert_eq!((open(shard), shard.teams_use[0].used.cpus), (1, used));
+    assert_eq!((open(shard), shard.team_quotas[0].used.cpus), (1, used));
     shard.next_transaction(MINUTE, &keys, claim, 48, 48).expect("due again");
-    assert_eq!((open(shard), shard.teams_use[0].used.cpus), (1, used));
+    assert_eq!((open(shard), shard.team_quotas[0].used.cpus), (1, used));
     shard.committed(MINUTE, &keys, 9);
-    assert_eq!((open(shard), shard.teams_use[0].used.cpus), (0, 0.0));
+    assert_eq!((open(shard), shard.team_quotas[0].used.cpus), (0, 0.0));
 }
 
 /// Guards against raising the term again and again after a take-over, each
@@ -105,57 +105,61 @@
     let (mut shard, machine) = shard();
     let attempt = shard.machines.get(machine).expect("there").open[0];
     shard.attempts.get_mut(attempt).expect("open").stop = Some(0.0);
-    shard.machines.get_mut(machine).expect("there").doubt = 4;
-    shard.merge_report(MINUTE, &report(1, 2, 4, Vec::new()), Path::Sent);
+    shard.machines.get_mut(machine).expect("there").unconfirmed_start_term = 4;
+    shard.merge_report(MINUTE, &report(1, 2, 4, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(open(&shard), 1);
-    assert!(!shard.withdraw);
-    shard.merge_report(MINUTE, &report(1, 3, 5, Vec::new()), Path::Sent);
-    assert!(!shard.withdraw);
+    assert!(!shard.needs_higher_term);
+    shard.merge_report(MINUTE, &report(1, 3, 5, Vec::new()), ReportPath::Heartbeat);
+    assert!(!shard.needs_higher_term);
     closes_once_its_record_is_gone(&mut shard);
 }
 
 #[test]
 fn reports_are_ordered_by_session_and_sequence() {
     let (mut shard, _) = shard();
-    shard.merge_report(10, &report(1, 5, 5, vec![task(TaskState::Running, None)]), Path::Sent);
-    let old = report(1, 4, 5, vec![task(TaskState::Exited, Some(Why::Done))]);
-    assert_eq!(shard.merge_report(20, &old, Path::Sent), Merged::Old);
+    shard.merge_report(
+        10,
+        &report(1, 5, 5, vec![task(TaskState::Running, None)]),
+        ReportPath::Heartbeat,
+    );
+    let old = report(1, 4, 5, vec![task(TaskState::Exited, Some(ExitReason::Done))]);
+    assert_eq!(shard.merge_report(20, &old, ReportPath::Heartbeat), Merged::Stale);
     assert_eq!(open(&shard), 1);
     assert_eq!(
-        shard.merge_report(20, &report(1, 9, 7, Vec::new()), Path::Sent),
+        shard.merge_report(20, &report(1, 9, 7, Vec::new()), ReportPath::Heartbeat),
         Merged::Outranked
     );
-    shard.merge_report(30, &report(2, 1, 5, Vec::new()), Path::Sent);
+    shard.merge_report(30, &report(2, 1, 5, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(open(&shard), 0);
 }
 
-/// Guards against reckoning a new session's lease from the last answer to
-/// the session before: its tasks were taken for lost while they ran.
+/// Guards against reckoning a new agent epoch's lease from the last answer to
+/// the agent epoch before: its tasks were taken for lost while they ran.
 #[test]
 fn a_new_session_has_its_whole_lease() {
     let (mut shard, _) = shard();
-    let late = shard.lapse_ms - 10;
-    shard.merge_report(late, &report(2, 1, 5, Vec::new()), Path::Sent);
+    let late = shard.lease_expiry_ms - 10;
+    shard.merge_report(late, &report(2, 1, 5, Vec::new()), ReportPath::Heartbeat);
     shard.place(late);
     assert_eq!(open(&shard), 1);
-    shard.close_lapsed(late + 1_000);
+    shard.close_expired(late + 1_000);
     assert_eq!(open(&shard), 1);
-    shard.close_lapsed(late + shard.lapse_ms + 1);
+    shard.close_expired(late + shard.lease_expiry_ms + 1);
     assert_eq!(open(&shard), 0);
 }
 
 #[test]
 fn an_end_is_forgotten_only_once_it_is_written() {
     let (mut shard, machine) = shard();
-    let over = vec![task(TaskState::Exited, Some(Why::Error))];
-    shard.merge_report(10, &report(1, 2, 5, over.clone()), Path::Sent);
-    shard.merge_report(10, &report(1, 3, 5, over), Path::Sent);
+    let over = vec![task(TaskState::Exited, Some(ExitReason::Error))];
+    shard.merge_report(10, &report(1, 2, 5, over.clone()), ReportPath::Heartbeat);
+    shard.merge_report(10, &report(1, 3, 5, over), ReportPath::Heartbeat);
     assert!(shard.commands(10, machine).is_empty());
     let ix = shard.jobs.find("j-1").expect("known");
     shard.jobs.get_mut(ix).expect("there").chunks[0].dirty = false;
     assert!(matches!(shard.commands(10, machine)[..], [Command::Forget { .. }]));
     // Not while a start that went unanswered may still bring it back.
-    shard.machines.get_mut(machine).expect("there").doubt = 5;
+    shard.machines.get_mut(machine).expect("there").unconfirmed_start_term = 5;
     assert!(shard.commands(10, machine).is_empty());
 }
 
@@ -169,15 +173,15 @@
 fn only_a_report_of_this_term_shows_that_a_machine_is_there() {
     let (mut shard, machine) = shard();
     shard.machines.get_mut(machine).expect("there").heard_at = None;
-    shard.merge_report(10, &report(1, 2, 4, Vec::new()), Path::Sent);
+    shard.merge_report(10, &report(1, 2, 4, Vec::new()), ReportPath::Heartbeat);
     assert!(!usable(&shard, machine, 10));
-    shard.merge_report(20, &report(1, 3, 5, Vec::new()), Path::Sent);
+    shard.merge_report(20, &report(1, 3, 5, Vec::new()), ReportPath::Heartbeat);
     assert!(usable(&shard, machine, 20));
 }
 
 /// Guards against bringing back a machine returned so long ago that it was
 /// forgotten: a report alone, even of this term, does not put it in the
-/// inventory, and rentals don't count on it.
+/// inventory, and machine requests don't count on it.
 #[test]
 fn a_machine_known_by_hearsay_counts_for_nothing() {
     let (mut shard, _) = shard();
@@ -185,13 +189,13 @@
         machine: "host-9".into(),
         ..report(1, seq, 5, Vec::new())
     };
-    shard.merge_report(10, &copy(7), Path::Sent);
+    shard.merge_report(10, &copy(7), ReportPath::Heartbeat);
     let ix = shard.machines.find("host-9").expect("noted");
     assert_eq!(shard.machines.get(ix).expect("there").group, None);
     assert!(!usable(&shard, ix, 10));
     // It is asked; its answer shows that it is there.
-    assert!(shard.to_push.contains(&ix));
-    shard.merge_report(20, &copy(8), Path::Answered);
+    assert!(shard.delivery_due.contains(&ix));
+    shard.merge_report(20, &copy(8), ReportPath::CommandReply);
     assert!(shard.machines.get(ix).expect("there").group.is_some());
 }
 
@@ -203,12 +207,12 @@
     let mut condemned_after = None;
     for seq in 2..12 {
         let now = seq * 5_000;
-        shard.merge_report(now, &report(1, seq, 5, Vec::new()), Path::Sent);
+        shard.merge_report(now, &report(1, seq, 5, Vec::new()), ReportPath::Heartbeat);
         shard.answer_commands(now, machine);
         shard.plan_fleet(now);
-        let misses = shard.machines.get(machine).expect("there").misses;
-        assert_eq!(usable(&shard, machine, now), misses < 2);
-        if shard.machines.get(machine).expect("there").condemned {
+        let missed_answers = shard.machines.get(machine).expect("there").missed_answers;
+        assert_eq!(usable(&shard, machine, now), missed_answers < 2);
+        if shard.machines.get(machine).expect("there").decommissioned {
             condemned_after.get_or_insert(seq - 2);
         }
     }
@@ -218,18 +222,18 @@
 }
 
 /// Guards against tasks for machines that hang or are cut off: they waited
-/// there until the lease had lapsed (zone days of the fleet deployments).
+/// there until the lease had expired (zone days of the fleet deployments).
 #[test]
 fn a_machine_late_with_its_report_or_an_answer_gets_nothing_new() {
     let (mut shard, machine) = shard();
-    shard.merge_report(0, &report(1, 2, 5, Vec::new()), Path::Sent);
+    shard.merge_report(0, &report(1, 2, 5, Vec::new()), ReportPath::Heartbeat);
     let due = shard.machines.get(machine).expect("there").report_due;
     assert!(due > crate::millis(shard.report_s * 1.25));
     assert!(usable(&shard, machine, due));
     assert!(!usable(&shard, machine, due + 1));
-    shard.machines.get_mut(machine).expect("there").unanswered = true;
+    shard.machines.get_mut(machine).expect("there").has_unanswered_command = true;
     assert!(!usable(&shard, machine, 10));
-    shard.merge_report(20, &report(1, 3, 5, Vec::new()), Path::Sent);
+    shard.merge_report(20, &report(1, 3, 5, Vec::new()), ReportPath::Heartbeat);
     assert!(usable(&shard, machine, 20));
 }
 
@@ -237,15 +241,15 @@
 fn one_lost_answer_is_made_up_for_by_the_next_sign() {
     let (mut shard, machine) = shard();
     shard.answer_commands(0, machine);
-    shard.merge_report(5_000, &report(1, 2, 5, Vec::new()), Path::Sent);
-    assert_eq!(shard.machines.get(machine).expect("there").misses, 1);
+    shard.merge_report(5_000, &report(1, 2, 5, Vec::new()), ReportPath::Heartbeat);
+    assert_eq!(shard.machines.get(machine).expect("there").missed_answers, 1);
     shard.answer_commands(5_000, machine);
     shard.merge_report(
         10_000,
         &report(1, 3, 5, vec![task(TaskState::Fetching, None)]),
-        Path::Sent,
+        ReportPath::Heartbeat,
     );
-    assert_eq!(shard.machines.get(machine).expect("there").misses, 0);
+    assert_eq!(shard.machines.get(machine).expect("there").missed_answers, 0);
 }
 
 /// Guards against a start that arrives late, after a later attempt of the
@@ -256,13 +260,13 @@
     let (mut shard, machine) = shard();
     shard.merge_report(
         10,
-        &report(1, 2, 5, vec![task(TaskState::Exited, Some(Why::Stopped))]),
-        Path::Sent,
+        &report(1, 2, 5, vec![task(TaskState::Exited, Some(ExitReason::Stopped))]),
+        ReportPath::Heartbeat,
     );
     assert_eq!(open(&shard), 0);
     shard.place(10);
     assert_eq!(open(&shard), 0);
-    shard.merge_report(20, &report(1, 3, 5, Vec::new()), Path::Sent);
+    shard.merge_report(20, &report(1, 3, 5, Vec::new()), ReportPath::Heartbeat);
     let job = shard.jobs.find("j-1").expect("known");
     shard.jobs.get_mut(job).expect("there").failed_on.clear();
     shard.place(20);
@@ -280,7 +284,7 @@
         ..report(1, seq, 5, tasks)
     };
     for name in ["host-1", "host-2"] {
-        shard.merge_report(0, &stale(name, 1, Vec::new()), Path::Answered);
+        shard.merge_report(0, &stale(name, 1, Vec::new()), ReportPath::CommandReply);
         let machine = shard.machines.find(name).expect("known");
         let known = shard.machines.get_mut(machine).expect("there");
         known.written = true;
@@ -290,8 +294,8 @@
     let image = shard.jobs.get(job).expect("there").image;
     let listing = shard.machines.find("host-1").expect("known");
     shard.machines.get_mut(listing).expect("there").touch(image, 1.0, 50.0);
-    let ended = task(TaskState::Exited, Some(Why::Stopped));
-    shard.merge_report(10, &stale("host-1", 2, vec![ended]), Path::Sent);
+    let ended = task(TaskState::Exited, Some(ExitReason::Stopped));
+    shard.merge_report(10, &stale("host-1", 2, vec![ended]), ReportPath::Heartbeat);
     // Three machines that are long gone fill what it remembers.
     shard.jobs.get_mut(job).expect("there").failed_on = [90, 91, 92].map(MachineIx).to_vec();
     shard.place(20);
@@ -321,14 +325,14 @@
 #[test]
 fn a_machine_whose_lease_ran_out_is_asked_directly_and_used_again() {
     let (mut shard, machine) = shard();
-    shard.merge_report(10, &report(2, 1, 5, Vec::new()), Path::Sent);
+    shard.merge_report(10, &report(2, 1, 5, Vec::new()), ReportPath::Heartbeat);
     assert!(!shard.machines.get(machine).expect("there").usable(10));
     shard.answer_commands(10, machine);
-    assert!(shard.to_push.contains(&machine));
-    shard.merge_report(20, &report(2, 2, 5, Vec::new()), Path::Answered);
+    assert!(shard.delivery_due.contains(&machine));
+    shard.merge_report(20, &report(2, 2, 5, Vec::new()), ReportPath::CommandReply);
     assert!(shard.machines.get(machine).expect("there").usable(20));
     shard.answer_commands(30, machine);
-    assert!(!shard.to_push.contains(&machine));
+    assert!(!shard.delivery_due.contains(&machine));
 }
 
 /// Guards against reports that grow for as long as a term lasts: while a start
@@ -336,17 +340,17 @@
 #[test]
 fn a_start_in_doubt_does_not_let_reports_grow_for_ever() {
     let (mut shard, machine) = shard();
-    shard.machines.get_mut(machine).expect("there").doubt = 5;
+    shard.machines.get_mut(machine).expect("there").unconfirmed_start_term = 5;
     let ended = |number: usize| TaskReport {
         task: format!("j-7/{number}"),
-        ..task(TaskState::Exited, Some(Why::Done))
+        ..task(TaskState::Exited, Some(ExitReason::Done))
     };
     let few = (0..MANY_ENDED - 1).map(ended).collect();
-    shard.merge_report(10, &report(1, 2, 5, few), Path::Sent);
-    assert!(!shard.withdraw);
+    shard.merge_report(10, &report(1, 2, 5, few), ReportPath::Heartbeat);
+    assert!(!shard.needs_higher_term);
     let many = (0..MANY_ENDED).map(ended).collect();
-    shard.merge_report(20, &report(1, 3, 5, many), Path::Sent);
-    assert!(shard.withdraw);
+    shard.merge_report(20, &report(1, 3, 5, many), ReportPath::Heartbeat);
+    assert!(shard.needs_higher_term);
     shard.term = 6;
     let forgets = shard.commands(30, machine).into_iter();
     assert_eq!(
@@ -362,14 +366,14 @@
     let mut tasks: Vec<TaskReport> = (0..500)
         .map(|number| TaskReport {
             task: format!("j-7/{number}"),
-            ..task(TaskState::Exited, Some(Why::Done))
+            ..task(TaskState::Exited, Some(ExitReason::Done))
         })
         .collect();
     tasks.push(TaskReport {
         task: "j-8/0".into(),
         ..task(TaskState::Running, None)
     });
-    shard.merge_report(10, &report(1, 2, 5, tasks), Path::Sent);
+    shard.merge_report(10, &report(1, 2, 5, tasks), ReportPath::Heartbeat);
     let commands = shard.commands(20, machine);
     assert!(matches!(&commands[0], Command::Stop { task, .. } if task == "j-8/0"));
 }
@@ -381,14 +385,14 @@
     let (mut shard, _) = shard();
     shard.merge_report(
         10,
-        &report(1, 2, 5, vec![task(TaskState::Exited, Some(Why::Error))]),
-        Path::Sent,
+        &report(1, 2, 5, vec![task(TaskState::Exited, Some(ExitReason::Error))]),
+        ReportPath::Heartbeat,
     );
     let job = shard.jobs.find("j-1").expect("known");
     shard.ledger.chunks.insert(ChunkId { job, number: 7 });
     shard.ledger.cleanups.insert(job);
-    shard.gone.push("j-1".into());
-    shard.forget_gone();
+    shard.deleted_jobs.push("j-1".into());
+    shard.forget_deleted_jobs();
     assert!(shard.jobs.is_empty());
     assert!(shard.ledger.chunks.is_empty() && shard.ledger.starts.is_empty() && shard.ledger.cleanups.is_empty());
 }
@@ -420,7 +424,7 @@
     }
     assert_eq!(shard.jobs.get(job).expect("there").errors, 0);
     shard.plan_fleet(40_000);
-    assert!(shard.machines.get(machine).expect("there").condemned);
+    assert!(shard.machines.get(machine).expect("there").decommissioned);
 }
 
 #[test]
@@ -438,5 +442,5 @@
     assert!(shard.machines.get(machine).expect("there").open.len() <= 1);
     shard.machines.get_mut(machine).expect("there").heard_at = Some(500_000);
     shard.plan_fleet(500_000);
-    assert!(!shard.machines.get(machine).expect("there").condemned);
+    assert!(!shard.machines.get(machine).expect("there").decommissioned);
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -2,15 +2,15 @@
 //! deriving commands.
 //!
 //! An attempt stays open, and counts against its team and its machine, until it
-//! is proven over: listed as ended by the newest report, its session gone, its
-//! machine deleted, or its worker's lease surely lapsed. Commands are always
+//! is proven over: listed as ended by the newest report, its agent epoch gone, its
+//! machine deleted, or its worker's lease surely expired. Commands are always
 //! derived from what is open, so repeating them needs no memory of its own.
 
 mod attribution;
 mod drain;
 mod merge;
 
-pub use merge::{Merged, Path};
+pub use merge::{Merged, ReportPath};
 
 use crate::Millis;
 use crate::fleet::Offer;
@@ -26,7 +26,7 @@
     Refused,
     /// Stopped by command.
     Stopped,
-    /// Gone with its machine or its session, or never started.
+    /// Gone with its machine or its agent epoch, or never started.
     Lost,
 }
 
@@ -36,13 +36,13 @@
     pub task: u32,
     pub number: u64,
     pub machine: MachineIx,
-    pub session: u64,
+    pub agent_epoch: u64,
     /// Its firing is known to be in the state service; only then may it start.
     pub written: bool,
     /// In the transaction now in flight.
     pub writing: bool,
     /// State in the newest report; `None` while no report has shown it.
-    pub seen: Option<TaskState>,
+    pub observed_state: Option<TaskState>,
     pub running_since: Option<Millis>,
     /// When a start command last left, by a report's answer or directly.
     pub start_sent: Option<Millis>,
@@ -58,14 +58,14 @@
 /// Reports without effect of the answers before them, after which a machine
 /// gets no more tasks, and after which it is given up: it is heard, but neither
 /// answers nor commands reach it.
-pub const MISSES_TO_REST: u32 = 2;
-pub const MISSES_TO_GIVE_UP: u32 = 4;
+pub const MISSED_ANSWERS_TO_CORDON: u32 = 2;
+pub const MISSED_ANSWERS_TO_DECOMMISSION: u32 = 4;
 
 /// Commands sent straight to a worker.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Push {
+pub struct Delivery {
     pub in_flight: bool,
-    pub starts: bool,
+    pub has_starts: bool,
     pub not_before: Millis,
 }
 
@@ -79,60 +79,60 @@
     /// Its group in the inventory, and whether the group's key names it yet.
     pub group: Option<GroupIx>,
     pub written: bool,
-    pub rented_at: Millis,
+    pub requested_at: Millis,
     /// In the cloud's list now being read; in any; missing from the last one.
     pub listed: bool,
     pub once_listed: bool,
     pub unlisted: bool,
-    pub session: u64,
+    pub agent_epoch: u64,
     pub seq: u64,
-    /// Highest token that its worker has been seen to hold.
-    pub token: u64,
-    /// Last report that surely was sent in this term: it carried our token, or
+    /// Highest fencing token that its worker has been seen to hold.
+    pub fencing_token: u64,
+    /// Last report that surely was sent in this term: it carried our fencing token, or
     /// answered a direct command. Anything else may be a late copy.
     pub heard_at: Option<Millis>,
     /// Its next report comes by then at the latest. A later one means that it
     /// hangs or is cut off, and it gets nothing new to run.
     pub report_due: Millis,
     /// A direct command since its last report went unanswered.
-    pub unanswered: bool,
+    pub has_unanswered_command: bool,
     /// Known to have been up at this time, though not heard in this term.
     pub known_up_at: Option<Millis>,
     /// The last answer called for something that the next report must show.
-    pub expecting: bool,
+    pub expects_effect: bool,
     /// Reports in a row that showed no effect of the answer before.
-    pub misses: u32,
+    pub missed_answers: u32,
     /// Last time at which an answer may have renewed its worker's lease.
     pub answered_at: Millis,
     /// Highest term under which a direct start went unanswered: it may still
-    /// arrive until the worker has been seen to hold a higher token.
-    pub doubt: u64,
+    /// arrive until the worker has been seen to hold a higher fencing token.
+    pub unconfirmed_start_term: u64,
     /// When the cloud takes it away, if it said so.
-    pub taken_at: Option<Millis>,
+    pub spot_reclaim_at: Option<Millis>,
     /// Not heard for so long that it counts for nothing until it is again.
     pub silent: bool,
     /// Given up: no new tasks; to be deleted.
-    pub condemned: bool,
-    pub push: Push,
+    pub decommissioned: bool,
+    pub delivery: Delivery,
     /// The peer that relayed its last report.
-    pub via: Option<String>,
+    pub relayed_by: Option<String>,
     /// Images it holds or fetches, the latest last, with their sizes.
     pub images: Vec<(ImageIx, f64)>,
     pub open: Vec<AttemptIx>,
     /// Tasks in its newest report that no open attempt stands for.
-    pub strays: Vec<TaskReport>,
-    pub used: Room,
+    pub unmatched_tasks: Vec<TaskReport>,
+    pub used: Resources,
     pub idle_since: Millis,
     /// Jobs whose tasks failed here since the last success.
     pub failing: Vec<JobIx>,
     /// Failures since then of jobs that got on elsewhere.
     pub failures: u32,
-    pub rest_until: Millis,
+    pub cordoned_until: Millis,
 }
 
 /// What a task takes of its machine, or a machine offers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
@@ -140,30 +140,30 @@
 
 const SLACK: f64 = 1e-6;
 
-impl Room {
-    pub fn add(&mut self, other: Room) {
+impl Resources {
+    pub fn add(&mut self, other: Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    pub fn take(&mut self, other: Room) {
+    pub fn take(&mut self, other: Resources) {
         self.cpus = (self.cpus - other.cpus).max(0.0);
         self.gpus = (self.gpus - other.gpus).max(0.0);
         self.memory_gb = (self.memory_gb - other.memory_gb).max(0.0);
     }
 
-    pub fn less(mut self, other: Room) -> Room {
+    pub fn minus(mut self, other: Resources) -> Resources {
         self.take(other);
         self
     }
 
-    pub fn fits(&self, other: Room) -> bool {
+    pub fn fits(&self, other: Resources) -> bool {
         other.cpus <= self.cpus + SLACK && other.gpus <= self.gpus + SLACK && other.memory_gb <= self.memory_gb + SLACK
     }
 
     /// How many of `other` fit.
-    pub fn count(&self, other: Room) -> u32 {
+    pub fn count(&self, other: Resources) -> u32 {
         let part = |have: f64, need: f64| {
             if need <= 0.0 {
                 f64::from(u32::MAX)
@@ -188,34 +188,34 @@
             spot,
             group: None,
             written: false,
-            rented_at: now,
+            requested_at: now,
             listed: false,
             once_listed: false,
             unlisted: false,
-            session: 0,
+            agent_epoch: 0,
             seq: 0,
-            token: 0,
+            fencing_token: 0,
             heard_at: None,
             report_due: 0,
-            unanswered: false,
+            has_unanswered_command: false,
             known_up_at: None,
-            expecting: false,
-            misses: 0,
+            expects_effect: false,
+            missed_answers: 0,
             answered_at: now,
-            doubt: 0,
-            taken_at: None,
+            unconfirmed_start_term: 0,
+            spot_reclaim_at: None,
             silent: false,
-            condemned: false,
-            push: Push::default(),
-            via: None,
+            decommissioned: false,
+            delivery: Delivery::default(),
+            relayed_by: None,
             images: Vec::new(),
             open: Vec::new(),
-            strays: Vec::new(),
-            used: Room::default(),
+            unmatched_tasks: Vec::new(),
+            used: Resources::default(),
             idle_since: now,
             failing: Vec::new(),
             failures: 0,
-            rest_until: 0,
+            cordoned_until: 0,
         }
     }
 
@@ -225,11 +225,11 @@
         self.written
             && self.heard_at.is_some()
             && now <= self.report_due
-            && !self.unanswered
-            && self.taken_at.is_none()
-            && !self.condemned
-            && self.misses < MISSES_TO_REST
-            && now >= self.rest_until
+            && !self.has_unanswered_command
+            && self.spot_reclaim_at.is_none()
+            && !self.decommissioned
+            && self.missed_answers < MISSED_ANSWERS_TO_CORDON
+            && now >= self.cordoned_until
     }
 
     /// When it was last known to be up, in this term or before.
@@ -313,7 +313,7 @@
 /// The command that an open attempt calls for, if any.
 pub fn command_for(job: &str, attempt: &Attempt) -> Option<Command> {
     let task = task_name(job, attempt.task);
-    match (attempt.seen, attempt.stop) {
+    match (attempt.observed_state, attempt.stop) {
         (None, None) => Some(Command::Start {
             task,
             attempt: attempt.number,
--- a/tests/golden/frames.rs
+++ b/tests/golden/frames.rs
@@ -80,13 +80,13 @@
         leads_term: Some(41),
         store_ok: true,
     };
-    let hold = Message::Hold {
+    let hold = Message::RequestLeaseExtension {
         shard: "pool".into(),
         term: 41,
         asked: 123_456,
         revision: 789,
     };
-    let held = Message::Held {
+    let held = Message::GrantLeaseExtension {
         term: 41,
         asked: 123_456,
         cancelled: Vec::new(),
--- a/tests/golden/operators.rs
+++ b/tests/golden/operators.rs
@@ -19,8 +19,8 @@
 fn summary(settings: &Settings) -> String {
     let mut text = String::new();
     let connections = settings.connections();
-    writeln!(text, "lapse_ms {}", settings.lapse_ms()).expect("written");
-    writeln!(text, "watch_cache_age_ms {}", settings.watch_cache_age_ms()).expect("written");
+    writeln!(text, "lapse_ms {}", settings.lease_expiry_ms()).expect("written");
+    writeln!(text, "watch_cache_age_ms {}", settings.max_watch_cache_age_ms()).expect("written");
     writeln!(text, "served {}", connections.served).expect("written");
     writeln!(text, "kept_idle {}", connections.kept_idle).expect("written");
     writeln!(text, "in_flight {}", connections.in_flight).expect("written");
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
-use sumacbend::fleet::{GroupValue, RentalValue};
+use sumacbend::fleet::{GroupValue, MachineRequestRecord};
 use sumacbend::pipeline::ChunkValue;
 use sumacbend::store::{JobKey, Keys, LeaderValue};
 use sumacbend::wire::Catalogue;
@@ -34,13 +34,13 @@
     round_trip_below::<JobKey>(STORE, "live/pool/job/");
     round_trip_below::<ChunkValue>(STORE, "kept/pool/firing/");
     round_trip_below::<GroupValue>(STORE, "kept/pool/roster/");
-    round_trip_below::<RentalValue>(STORE, "kept/pool/hire/");
+    round_trip_below::<MachineRequestRecord>(STORE, "kept/pool/hire/");
 }
 
 /// All fields of a stored value are required, but for how a job ended.
 #[test]
 fn fields_of_stored_values_are_missed_by_name() {
-    fn misses<T: DeserializeOwned>(text: &str, optional: &[&str]) {
+    fn missed_answers<T: DeserializeOwned>(text: &str, optional: &[&str]) {
         let whole: Value = serde_json::from_str(text).expect("JSON");
         for field in whole.as_object().expect("an object").keys() {
             let mut rest = whole.clone();
@@ -56,11 +56,11 @@
         let (key, text) = line.split_once(' ').expect("a key and its value");
         let parts: Vec<&str> = key.split('/').collect();
         match parts[2] {
-            "owner" => misses::<LeaderValue>(text, &[]),
-            "job" => misses::<JobKey>(text, &["ended"]),
-            "firing" => misses::<ChunkValue>(text, &[]),
-            "roster" => misses::<GroupValue>(text, &[]),
-            "hire" => misses::<RentalValue>(text, &[]),
+            "owner" => missed_answers::<LeaderValue>(text, &[]),
+            "job" => missed_answers::<JobKey>(text, &["ended"]),
+            "firing" => missed_answers::<ChunkValue>(text, &[]),
+            "roster" => missed_answers::<GroupValue>(text, &[]),
+            "hire" => missed_answers::<MachineRequestRecord>(text, &[]),
             // Read by the controllers alone, as the takeover in tests/rules shows.
             "term" | "end" | "catalogue" => {}
             other => panic!("a key of another kind: {other}"),
@@ -84,8 +84,8 @@
         keys.firing("j-000412", 3),
         keys.inventories(),
         keys.inventory("41-0"),
-        keys.rentals(),
-        keys.rental("pool-41-7"),
+        keys.machine_requests(),
+        keys.machine_request("pool-41-7"),
     ];
     assert_eq!(names.to_vec(), lines("stored/keys.txt"));
 }
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -24,7 +24,7 @@
 fn messages_of_the_cloud_keep_their_text() {
     round_trip::<Catalogue>("wire/catalogue.txt");
     reads_as::<Catalogue>("wire/catalogue_read.txt");
-    round_trip::<RentalRequest>("wire/rental_request.txt");
+    round_trip::<MachineRequest>("wire/rental_request.txt");
     round_trip::<MachineNames>("wire/machine_names.txt");
     round_trip::<MachineList>("wire/machine_list.txt");
     reads_as::<MachineList>("wire/machine_list_read.txt");
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -11,8 +11,8 @@
 use sumacbend::policy::Policy;
 use sumacbend::settings::Settings;
 use sumacbend::store::{JobKey, Keys, WatchCache};
-use sumacbend::wire::{Catalogue, Event, MachineType, Report, Standing, TaskReport};
-use sumacbend::workers::Path;
+use sumacbend::wire::{Catalogue, Event, JobState, MachineType, Report, TaskReport};
+use sumacbend::workers::ReportPath;
 
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
@@ -70,9 +70,9 @@
         machine_type: "pantry-rack".into(),
         zone: "north".into(),
         spot: true,
-        session: 1,
+        agent_epoch: 1,
         seq: 1 + tasks.len() as u64,
-        token: 3,
+        fencing_token: 3,
         notice_s: None,
         tasks,
     }
@@ -81,7 +81,7 @@
 fn add_machines(shard: &mut Shard) {
     for number in 0..MACHINES {
         shard.add_machine(0, &machine_name(number), "pantry-rack", "north", true);
-        shard.merge_report(0, &report(number, Vec::new()), Path::Answered);
+        shard.merge_report(0, &report(number, Vec::new()), ReportPath::CommandReply);
     }
     let machines = shard.machines.indices();
     for ix in machines {
@@ -162,11 +162,11 @@
 #[test]
 fn an_ended_job_takes_no_more_than_its_bound() {
     let _turn = TURN.lock();
-    let bytes = bytes_each(JOBS, || watched(JOBS, Some(Standing::Done)));
+    let bytes = bytes_each(JOBS, || watched(JOBS, Some(JobState::Done)));
     assert_close(bytes, memory::ENDED_JOB_BYTES);
 }
 
-fn watched(jobs: usize, ended: Option<Standing>) -> WatchCache {
+fn watched(jobs: usize, ended: Option<JobState>) -> WatchCache {
     let keys = Keys::new("pool");
     let mut watch_cache = WatchCache::default();
     for number in 0..jobs {
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -179,7 +179,7 @@
     });
 }
 
-/// Reports arrive after newer ones, from earlier sessions and attempts, also
+/// Reports arrive after newer ones, from earlier agent epochs and attempts, also
 /// held back until a new leader has acted, and then there.
 #[test]
 fn old_reports_reach_a_new_leader() {
@@ -352,7 +352,7 @@
 }
 
 /// Workers reach no controller while direct commands reach them: their leases
-/// lapse although they answer.
+/// expiry although they answer.
 #[test]
 fn machines_that_reach_no_controller_but_take_commands() {
     meet(10, |rng| {
--- a/tests/rules/takeover_from_stored_state.rs
+++ b/tests/rules/takeover_from_stored_state.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// The claim has lapsed, so its key is absent.
+/// The claim has expired, so its key is absent.
 fn world_left_behind(seed: u64) -> World {
     let mut world = World::new(seed, 3, 0, Vec::new());
     let stored = golden("store.txt");
@@ -120,7 +120,7 @@
         let told: Vec<Told> = world.jobs.iter().map(|job| job.told).collect();
         let (done, cancelled) = (Told::Done, Told::Cancelled);
         assert_eq!(told, [done, done, done, cancelled, done, done, done], "seed {seed}");
-        // The rental that was written and never answered was asked for again.
+        // The machine request that was written and never answered was asked for again.
         assert!(world.rented_as("pool-41-7").is_some_and(|names| names.len() == 2));
         check_store(&mut world, seed);
     }
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -33,7 +33,7 @@
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
-            rented_at: self.now,
+            requested_at: self.now,
             up_at: self.now + boot,
             gone: false,
             cut_until: 0,
@@ -41,11 +41,11 @@
             mute_until: 0,
             hung_until: 0,
             sick_until: 0,
-            session: 1,
+            agent_epoch: 1,
             seq: 0,
-            token: 0,
+            fencing_token: 0,
             lease_from: self.now + boot,
-            taken_at: None,
+            spot_reclaim_at: None,
             node,
             report_out: None,
             next_report: self.now + boot,
@@ -59,18 +59,18 @@
         }
         match request {
             CloudRequest::Catalogue => CloudReply::Catalogue(catalogue()),
-            CloudRequest::Rental(rental) => {
-                if let Some(names) = self.rented.get(&rental.request) {
-                    return CloudReply::Rented(MachineNames {
+            CloudRequest::RequestMachines(machine_request) => {
+                if let Some(names) = self.rented.get(&machine_request.request) {
+                    return CloudReply::Provisioned(MachineNames {
                         machines: names.clone(),
                     });
                 }
                 let there = self
                     .workers
                     .values()
-                    .filter(|w| !w.gone && w.zone == rental.zone && w.spot == rental.spot)
+                    .filter(|w| !w.gone && w.zone == machine_request.zone && w.spot == machine_request.spot)
                     .count();
-                let count = (rental.count as usize).min(self.capacity.saturating_sub(there));
+                let count = (machine_request.count as usize).min(self.capacity.saturating_sub(there));
                 if count == 0 {
                     return CloudReply::NoCapacity;
                 }
@@ -86,12 +86,18 @@
                     } else {
                         self.rng.random_range(500..8_000)
                     };
-                    let worker = self.new_worker(&name, &rental.machine_type, &rental.zone, rental.spot, boot);
+                    let worker = self.new_worker(
+                        &name,
+                        &machine_request.machine_type,
+                        &machine_request.zone,
+                        machine_request.spot,
+                        boot,
+                    );
                     self.workers.insert(name.clone(), worker);
                     names.push(name);
                 }
-                self.rented.insert(rental.request.clone(), names.clone());
-                CloudReply::Rented(MachineNames { machines: names })
+                self.rented.insert(machine_request.request.clone(), names.clone());
+                CloudReply::Provisioned(MachineNames { machines: names })
             }
             CloudRequest::Delete(names) => {
                 for name in &names.machines {
@@ -115,7 +121,7 @@
                         } else {
                             MachineState::Starting
                         },
-                        age_s: (self.now - w.rented_at) as f64 / 1000.0,
+                        age_s: (self.now - w.requested_at) as f64 / 1000.0,
                     });
                 let mut machines: Vec<ListedMachine> = listed.take(LIST_LIMIT + 1).collect();
                 let more = machines.len() > LIST_LIMIT;
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -39,7 +39,7 @@
     MachineDeaf {
         ms: u64,
     },
-    /// Back at once, its tasks gone, in its next session.
+    /// Back at once, its tasks gone, in its next agent epoch.
     MachineBlinks,
     /// Copies of reports come seconds to several leases late.
     LateCopies {
@@ -263,7 +263,7 @@
             Trouble::MachineTaken => {
                 let now = self.now;
                 if let Some(worker) = self.pick_worker() {
-                    worker.taken_at = Some(now + 500);
+                    worker.spot_reclaim_at = Some(now + 500);
                 }
             }
             Trouble::MachineSick => {
@@ -285,7 +285,7 @@
 
     pub(super) fn crash(&mut self, node: usize, pause: u64) {
         self.nodes[node].controller = None;
-        self.nodes[node].life = 0;
+        self.nodes[node].incarnation = 0;
         self.nodes[node].frozen_until = 0;
         self.nodes[node].healthy = false;
         self.at(self.now + pause, Happening::Restart(node));
--- a/tests/rules/world/machines.rs
+++ b/tests/rules/world/machines.rs
@@ -27,7 +27,7 @@
     pub(super) fn direct(&mut self, machine: &str, commands: &DirectCommands) -> WorkerReply {
         let (now, run_ms) = (self.now, self.run_ms());
         let Some(worker) = self.workers.get_mut(machine).filter(|worker| worker.up(now)) else {
-            return WorkerReply::Lost;
+            return WorkerReply::Unanswered;
         };
         let mut effects = Vec::new();
         worker.advance(now, LEASE_MS, &mut effects);
@@ -35,7 +35,7 @@
         let report = Box::new(worker.report());
         self.take_effects(machine, effects);
         if done {
-            WorkerReply::Done(report)
+            WorkerReply::Executed(report)
         } else {
             WorkerReply::Refused(report)
         }
@@ -58,8 +58,8 @@
         match answer.status {
             200 => {
                 let answer: ReportAnswer = serde_json::from_str(&answer.body).expect("a report's answer");
-                let session = worker.session;
-                worker.answer(now, session, sent, &answer, run_ms, &mut effects);
+                let agent_epoch = worker.agent_epoch;
+                worker.answer(now, agent_epoch, sent, &answer, run_ms, &mut effects);
             }
             421 => {
                 let redirect: Redirect = serde_json::from_str(&answer.body).expect("a redirect");
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -22,7 +22,7 @@
 use store::Store;
 use sumacbend::Now;
 use sumacbend::controller::{CloudReply, CloudRequest, Controller, Input, Output, WorkerReply};
-use sumacbend::peers::{Answer, Ask, Message};
+use sumacbend::peers::{Answer, Message, UserRequest};
 use sumacbend::policy::Policy;
 use sumacbend::settings::Settings;
 use sumacbend::store::{StoreReply, StoreRequest};
@@ -84,26 +84,26 @@
     Tick(usize),
     Input {
         node: usize,
-        life: u64,
+        incarnation: u64,
         input: Input,
     },
     Store {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: u64,
         request: StoreRequest,
         reply: bool,
     },
     Cloud {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: u64,
         request: CloudRequest,
         reply: bool,
     },
     Direct {
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: u64,
         machine: String,
         commands: DirectCommands,
@@ -136,14 +136,14 @@
     /// What a controller that stood still sends when it wakes.
     Thawed {
         node: usize,
-        life: u64,
+        incarnation: u64,
         output: Output,
     },
 }
 
 struct Node {
     controller: Option<Controller>,
-    life: u64,
+    incarnation: u64,
     name: String,
     offset: u64,
     rate: f64,
@@ -235,7 +235,7 @@
         let nodes = (0..nodes)
             .map(|index| Node {
                 controller: None,
-                life: 0,
+                incarnation: 0,
                 name: format!("n{index}"),
                 offset: rng.random_range(0..5_000_000),
                 rate: rng.random_range(0.9995..1.0005),
@@ -381,31 +381,38 @@
     fn step(&mut self, node: usize, input: Input) {
         let (now, broken) = (self.now, &mut self.nodes[node]);
         let clock = Now {
-            steady: broken.offset + (now as f64 * broken.rate) as u64 + 1_000_000,
-            wall: 1_700_000_000_000 + now,
+            monotonic: broken.offset + (now as f64 * broken.rate) as u64 + 1_000_000,
+            wall_clock: 1_700_000_000_000 + now,
         };
         let Some(controller) = &mut broken.controller else {
             return;
         };
         let outputs = controller.step(clock, input);
-        let (life, thaw) = (broken.life, broken.frozen_until);
+        let (incarnation, thaw) = (broken.incarnation, broken.frozen_until);
         for output in outputs {
-            let asker = match &output {
+            let requester = match &output {
                 Output::Answer { request, .. } => self.requests.get(&(node, *request)),
                 _ => None,
             };
-            if now < thaw && matches!(asker, Some(Waiting::User { .. })) {
+            if now < thaw && matches!(requester, Some(Waiting::User { .. })) {
                 // Its user has given up by then.
             } else if now < thaw {
-                self.at(thaw, Happening::Thawed { node, life, output });
+                self.at(
+                    thaw,
+                    Happening::Thawed {
+                        node,
+                        incarnation,
+                        output,
+                    },
+                );
             } else {
-                self.output(node, life, output);
+                self.output(node, incarnation, output);
             }
         }
     }
 
     fn restart(&mut self, node: usize) {
-        let life = self.rng.random::<u32>() as u64 + 1;
+        let incarnation = self.rng.random::<u32>() as u64 + 1;
         let name = self.nodes[node].name.clone();
         let peers: String = (0..self.nodes.len())
             .filter(|&other| other != node)
@@ -415,8 +422,8 @@
         let text = SETTINGS.replace("NODE", &name).replace("PEERS", &peers);
         let text = text.replace("cpus_max = 24.0", &limit);
         let settings = Settings::parse(&text).expect("valid settings");
-        self.nodes[node].life = life;
-        self.nodes[node].controller = Some(Controller::new(settings, Policy::default(), life));
+        self.nodes[node].incarnation = incarnation;
+        self.nodes[node].controller = Some(Controller::new(settings, Policy::default(), incarnation));
         self.at(self.now, Happening::Tick(node));
     }
 
@@ -459,7 +466,7 @@
             if !worker.up(now) {
                 continue;
             }
-            if worker.taken_at.is_some_and(|at| now >= at) {
+            if worker.spot_reclaim_at.is_some_and(|at| now >= at) {
                 self.machine_gone(&name);
                 continue;
             }
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -14,7 +14,7 @@
         still
     }
 
-    pub(super) fn output(&mut self, node: usize, life: u64, output: Output) {
+    pub(super) fn output(&mut self, node: usize, incarnation: u64, output: Output) {
         match output {
             Output::Answer { request, answer } => {
                 let delay = self.delay();
@@ -54,7 +54,7 @@
                 if self.now < cut.max(self.peers_refuse) {
                     return;
                 }
-                let (delay, to_life) = (self.delay(), self.nodes[to].life);
+                let (delay, to_life) = (self.delay(), self.nodes[to].incarnation);
                 let input = Input::Peer {
                     node: self.nodes[node].name.clone(),
                     message: Box::new(over_the_wire(&message)),
@@ -63,7 +63,7 @@
                     self.now + delay,
                     Happening::Input {
                         node: to,
-                        life: to_life,
+                        incarnation: to_life,
                         input,
                     },
                 );
@@ -72,7 +72,7 @@
                 self.sent.store_requests += 1;
                 self.sent.store_writes += request.writes() as usize;
                 if self.now < self.nodes[node].refused {
-                    self.refuse(node, life, call, request);
+                    self.refuse(node, incarnation, call, request);
                     return;
                 }
                 let reads = matches!(
@@ -80,9 +80,16 @@
                     StoreRequest::Get(_) | StoreRequest::List { .. } | StoreRequest::Watch { .. }
                 );
                 if reads && self.now < self.nodes[node].reads_lost {
-                    let reply = StoreReply::Lost;
+                    let reply = StoreReply::Unanswered;
                     let input = Input::Store { call, reply };
-                    self.at(self.now + 2_000, Happening::Input { node, life, input });
+                    self.at(
+                        self.now + 2_000,
+                        Happening::Input {
+                            node,
+                            incarnation,
+                            input,
+                        },
+                    );
                     return;
                 }
                 let alone = self.alone_until(node);
@@ -95,7 +102,7 @@
                             late,
                             Happening::Store {
                                 node,
-                                life,
+                                incarnation,
                                 call,
                                 request,
                                 reply: false,
@@ -104,9 +111,16 @@
                     }
                     let input = Input::Store {
                         call,
-                        reply: StoreReply::Lost,
+                        reply: StoreReply::Unanswered,
                     };
-                    self.at(self.now + 2_000, Happening::Input { node, life, input });
+                    self.at(
+                        self.now + 2_000,
+                        Happening::Input {
+                            node,
+                            incarnation,
+                            input,
+                        },
+                    );
                     return;
                 }
                 let slow = if self.now < self.store_slow { 15 } else { 1 };
@@ -118,9 +132,16 @@
                 if lost {
                     let input = Input::Store {
                         call,
-                        reply: StoreReply::Lost,
+                        reply: StoreReply::Unanswered,
                     };
-                    self.at(self.now + 2_000, Happening::Input { node, life, input });
+                    self.at(
+                        self.now + 2_000,
+                        Happening::Input {
+                            node,
+                            incarnation,
+                            input,
+                        },
+                    );
                 }
                 let late = match (held, lost) {
                     (true, _) => self.rng.random_range(2_000..12_000),
@@ -131,7 +152,7 @@
                     self.now + late,
                     Happening::Store {
                         node,
-                        life,
+                        incarnation,
                         call,
                         request,
                         reply: !lost,
@@ -144,16 +165,23 @@
                 if lost {
                     let input = Input::Cloud {
                         call,
-                        reply: CloudReply::Lost,
+                        reply: CloudReply::Unanswered,
                     };
-                    self.at(self.now + 6_000, Happening::Input { node, life, input });
+                    self.at(
+                        self.now + 6_000,
+                        Happening::Input {
+                            node,
+                            incarnation,
+                            input,
+                        },
+                    );
                 }
                 let late = if lost { self.rng.random_range(0..15_000) } else { delay };
                 self.at(
                     self.now + late,
                     Happening::Cloud {
                         node,
-                        life,
+                        incarnation,
                         call,
                         request,
                         reply: !lost,
@@ -177,22 +205,29 @@
                     .max(self.apart_from(node, &address));
                 let held = self.now < cut;
                 if !held && self.now < self.held_commands && self.rng.random_bool(0.5) {
-                    self.hold_command(node, life, call, address, commands);
+                    self.hold_command(node, incarnation, call, address, commands);
                     return;
                 }
                 if held || self.rng.random_bool(0.02) {
                     let input = Input::Worker {
                         call,
-                        reply: WorkerReply::Lost,
+                        reply: WorkerReply::Unanswered,
                     };
-                    self.at(self.now + 2_500, Happening::Input { node, life, input });
+                    self.at(
+                        self.now + 2_500,
+                        Happening::Input {
+                            node,
+                            incarnation,
+                            input,
+                        },
+                    );
                     // Delivered late, perhaps minutes after its time.
                     let late = if held { cut - self.now } else { 0 } + self.rng.random_range(0..20_000);
                     self.at(
                         self.now + late,
                         Happening::Direct {
                             node,
-                            life,
+                            incarnation,
                             call,
                             machine: address,
                             commands,
@@ -204,7 +239,7 @@
                         self.now + delay,
                         Happening::Direct {
                             node,
-                            life,
+                            incarnation,
                             call,
                             machine: address,
                             commands,
@@ -228,9 +263,13 @@
             return;
         }
         match happening {
-            Happening::Thawed { node, life, output } => {
-                if self.nodes[node].life == life {
-                    self.output(node, life, output);
+            Happening::Thawed {
+                node,
+                incarnation,
+                output,
+            } => {
+                if self.nodes[node].incarnation == incarnation {
+                    self.output(node, incarnation, output);
                 }
             }
             Happening::Tick(node) => {
@@ -239,21 +278,25 @@
                     self.at(self.now + 50, Happening::Tick(node));
                 }
             }
-            Happening::Input { node, life, input } => {
-                if self.nodes[node].life == life {
+            Happening::Input {
+                node,
+                incarnation,
+                input,
+            } => {
+                if self.nodes[node].incarnation == incarnation {
                     self.step(node, input);
                 }
             }
             Happening::Store {
                 node,
-                life,
+                incarnation,
                 call,
                 request,
                 reply,
-            } => self.store_call(node, life, call, request, reply),
+            } => self.store_call(node, incarnation, call, request, reply),
             Happening::Cloud {
                 node,
-                life,
+                incarnation,
                 call,
                 request,
                 reply,
@@ -261,12 +304,19 @@
                 let answer = self.cloud_call(&request);
                 if reply {
                     let input = Input::Cloud { call, reply: answer };
-                    self.at(self.now + 20, Happening::Input { node, life, input });
+                    self.at(
+                        self.now + 20,
+                        Happening::Input {
+                            node,
+                            incarnation,
+                            input,
+                        },
+                    );
                 }
             }
             Happening::Direct {
                 node,
-                life,
+                incarnation,
                 call,
                 machine,
                 commands,
@@ -276,7 +326,14 @@
                 if reply {
                     let delay = self.delay();
                     let input = Input::Worker { call, reply: answer };
-                    self.at(self.now + delay, Happening::Input { node, life, input });
+                    self.at(
+                        self.now + delay,
+                        Happening::Input {
+                            node,
+                            incarnation,
+                            input,
+                        },
+                    );
                 }
             }
             Happening::ReportArrives {
@@ -312,19 +369,26 @@
         }
     }
 
-    pub(super) fn store_call(&mut self, node: usize, life: u64, call: u64, request: StoreRequest, reply: bool) {
+    pub(super) fn store_call(&mut self, node: usize, incarnation: u64, call: u64, request: StoreRequest, reply: bool) {
         if self.now < self.store_out {
             if let StoreRequest::Watch { wait_ms, .. } = &request
                 && *wait_ms > 0
             {
                 let until = self.now + wait_ms;
-                self.watches.push((until, node, life, call, request));
+                self.watches.push((until, node, incarnation, call, request));
             } else if reply {
                 let input = Input::Store {
                     call,
                     reply: StoreReply::Unavailable,
                 };
-                self.at(self.now + 2, Happening::Input { node, life, input });
+                self.at(
+                    self.now + 2,
+                    Happening::Input {
+                        node,
+                        incarnation,
+                        input,
+                    },
+                );
             }
             return;
         }
@@ -334,13 +398,20 @@
             && log.events.is_empty()
         {
             let until = self.now + wait_ms;
-            self.watches.push((until, node, life, call, request));
+            self.watches.push((until, node, incarnation, call, request));
             return;
         }
         if reply {
             let delay = self.delay();
             let input = Input::Store { call, reply: answer };
-            self.at(self.now + delay, Happening::Input { node, life, input });
+            self.at(
+                self.now + delay,
+                Happening::Input {
+                    node,
+                    incarnation,
+                    input,
+                },
+            );
         }
         self.serve_watches();
     }
@@ -349,43 +420,64 @@
         if self.now < self.store_out {
             return;
         }
-        for (until, node, life, call, request) in std::mem::take(&mut self.watches) {
+        for (until, node, incarnation, call, request) in std::mem::take(&mut self.watches) {
             let answer = self.store.execute(self.now, &request);
             let empty = matches!(&answer, StoreReply::Log(log) if log.events.is_empty());
             let node_shut = &self.nodes[node];
             let shut = node_shut.store_cut.max(node_shut.refused).max(node_shut.reads_lost);
             let shut = shut.max(self.alone_until(node));
             if (empty && self.now < until) || self.now < shut {
-                self.watches.push((until, node, life, call, request));
+                self.watches.push((until, node, incarnation, call, request));
             } else {
                 let delay = self.delay();
                 let input = Input::Store { call, reply: answer };
-                self.at(self.now + delay, Happening::Input { node, life, input });
+                self.at(
+                    self.now + delay,
+                    Happening::Input {
+                        node,
+                        incarnation,
+                        input,
+                    },
+                );
             }
         }
     }
 
     /// 503 to this controller alone; its watches wait as in an outage.
-    fn refuse(&mut self, node: usize, life: u64, call: u64, request: StoreRequest) {
+    fn refuse(&mut self, node: usize, incarnation: u64, call: u64, request: StoreRequest) {
         let delay = self.delay();
         match &request {
             StoreRequest::Watch { wait_ms, .. } if *wait_ms > 0 => {
                 let until = self.now + wait_ms;
-                self.watches.push((until, node, life, call, request));
+                self.watches.push((until, node, incarnation, call, request));
             }
             _ => {
                 let reply = StoreReply::Unavailable;
                 let input = Input::Store { call, reply };
-                self.at(self.now + delay, Happening::Input { node, life, input });
+                self.at(
+                    self.now + delay,
+                    Happening::Input {
+                        node,
+                        incarnation,
+                        input,
+                    },
+                );
             }
         }
     }
 
     /// The command is carried out at once or late, and nobody hears of it in time.
-    fn hold_command(&mut self, node: usize, life: u64, call: u64, machine: String, commands: DirectCommands) {
-        let reply = WorkerReply::Lost;
+    fn hold_command(&mut self, node: usize, incarnation: u64, call: u64, machine: String, commands: DirectCommands) {
+        let reply = WorkerReply::Unanswered;
         let input = Input::Worker { call, reply };
-        self.at(self.now + 2_500, Happening::Input { node, life, input });
+        self.at(
+            self.now + 2_500,
+            Happening::Input {
+                node,
+                incarnation,
+                input,
+            },
+        );
         let late = if self.rng.random_bool(0.5) {
             5
         } else {
@@ -396,7 +488,7 @@
             self.now + late,
             Happening::Direct {
                 node,
-                life,
+                incarnation,
                 call,
                 machine,
                 commands,
--- a/tests/rules/world/stored.rs
+++ b/tests/rules/world/stored.rs
@@ -24,11 +24,11 @@
         }
     }
 
-    /// A machine that was rented before and has seen `token`.
-    pub fn add_known_machine(&mut self, name: &str, (machine_type, zone, spot): (&str, &str, bool), session: u64) {
+    /// A machine that was rented before and has seen its fencing token.
+    pub fn add_known_machine(&mut self, name: &str, (machine_type, zone, spot): (&str, &str, bool), agent_epoch: u64) {
         let mut worker = self.new_worker(name, machine_type, zone, spot, 0);
-        worker.session = session;
-        worker.token = World::FORMER_TERM;
+        worker.agent_epoch = agent_epoch;
+        worker.fencing_token = World::FORMER_TERM;
         self.workers.insert(name.into(), worker);
     }
 
@@ -40,7 +40,7 @@
         let running = Running {
             attempt,
             state: TaskState::Running,
-            why: None,
+            exit_reason: None,
             until: self.now + ms,
             run_ms: ms,
         };
@@ -58,7 +58,7 @@
         let over = Running {
             attempt,
             state: TaskState::Exited,
-            why: Some(Why::Done),
+            exit_reason: Some(ExitReason::Done),
             until: 0,
             run_ms: 0,
         };
@@ -85,7 +85,7 @@
         self.on.contains_key(task)
     }
 
-    /// What came of a rental's request.
+    /// What came of a machine request's request.
     pub fn rented_as(&self, request: &str) -> Option<&Vec<String>> {
         self.rented.get(request)
     }
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -132,26 +132,26 @@
     /// A user does what is next: submit, poll, cancel.
     pub(super) fn user(&mut self, index: usize) {
         let job = &self.jobs[index];
-        let (kind, ask) = match job.told {
+        let (kind, user_request) = match job.told {
             Told::Nothing => (
                 World::SUBMIT,
-                Ask::Submit(serde_json::to_string(&job.spec).expect("json")),
+                UserRequest::Submit(serde_json::to_string(&job.spec).expect("json")),
             ),
             Told::Accepted if job.cancel_at.is_some_and(|at| self.now >= at) => {
-                (World::CANCEL, Ask::Cancel(job.spec.id.clone()))
+                (World::CANCEL, UserRequest::Cancel(job.spec.id.clone()))
             }
-            _ => (World::POLL, Ask::Show(job.spec.id.clone())),
+            _ => (World::POLL, UserRequest::Show(job.spec.id.clone())),
         };
         if kind == World::CANCEL {
             self.jobs[index].cancel_asked = true;
         }
         // Now and then somebody asks about a job that nobody submitted.
-        let ask = if kind == World::POLL && self.rng.random_bool(0.05) {
-            Ask::Show(format!("j-9{index:05}"))
+        let user_request = if kind == World::POLL && self.rng.random_bool(0.05) {
+            UserRequest::Show(format!("j-9{index:05}"))
         } else {
-            ask
+            user_request
         };
-        let kind = if matches!(&ask, Ask::Show(id) if id.starts_with("j-9")) {
+        let kind = if matches!(&user_request, UserRequest::Show(id) if id.starts_with("j-9")) {
             World::UNKNOWN
         } else {
             kind
@@ -173,7 +173,7 @@
             return;
         }
         let request = self.expect(node, Waiting::User { job: index, kind });
-        self.step(node, Input::User { request, ask });
+        self.step(node, Input::User { request, user_request });
     }
 
     pub(super) fn user_answered(&mut self, index: usize, kind: u8, given: u64, answer: &Answer) {
@@ -207,9 +207,9 @@
         job.answered_at = now;
         let status: JobStatus = serde_json::from_str(&answer.body).expect("a job's state");
         let told = match status.state {
-            Standing::Queued | Standing::Running => Told::Accepted,
-            Standing::Done => Told::Done,
-            Standing::Cancelled => Told::Cancelled,
+            JobState::Queued | JobState::Running => Told::Accepted,
+            JobState::Done => Told::Done,
+            JobState::Cancelled => Told::Cancelled,
         };
         // On its way already when the user was told otherwise: not an answer
         // given after that.
@@ -260,13 +260,13 @@
         }
         let index = self.rng.random_range(0..self.jobs.len());
         let job = &self.jobs[index];
-        let (kind, ask) = match self.rng.random_range(0..4) {
+        let (kind, user_request) = match self.rng.random_range(0..4) {
             0 if job.told != Told::Nothing => (
                 World::SUBMIT,
-                Ask::Submit(serde_json::to_string(&job.spec).expect("json")),
+                UserRequest::Submit(serde_json::to_string(&job.spec).expect("json")),
             ),
-            1 if job.told == Told::Done => (World::CANCEL, Ask::Cancel(job.spec.id.clone())),
-            2 => (World::ODD, Ask::Submit(self.odd_job().to_string())),
+            1 if job.told == Told::Done => (World::CANCEL, UserRequest::Cancel(job.spec.id.clone())),
+            2 => (World::ODD, UserRequest::Submit(self.odd_job().to_string())),
             _ => return,
         };
         let node = self.rng.random_range(0..self.nodes.len());
@@ -274,7 +274,7 @@
             return;
         }
         let request = self.expect(node, Waiting::User { job: index, kind });
-        self.step(node, Input::User { request, ask });
+        self.step(node, Input::User { request, user_request });
     }
 
     fn odd_job(&mut self) -> serde_json::Value {
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -1,7 +1,7 @@
 //! A stand-in for a worker and its machine, by the published protocol.
 
 use std::collections::BTreeMap;
-use sumacbend::wire::{Command, DirectCommands, Report, ReportAnswer, TaskReport, TaskState, Why};
+use sumacbend::wire::{Command, DirectCommands, ExitReason, Report, ReportAnswer, TaskReport, TaskState};
 
 /// The run time of a task that fails on every machine.
 pub const FAILS: u64 = 0;
@@ -9,16 +9,16 @@
 pub struct Running {
     pub attempt: u64,
     pub state: TaskState,
-    pub why: Option<Why>,
+    pub exit_reason: Option<ExitReason>,
     /// When it leaves its present state by itself.
     pub until: u64,
     pub run_ms: u64,
 }
 
 impl Running {
-    fn exit(&mut self, why: Why) {
+    fn exit(&mut self, exit_reason: ExitReason) {
         self.state = TaskState::Exited;
-        self.why = Some(why);
+        self.exit_reason = Some(exit_reason);
     }
 }
 
@@ -27,7 +27,7 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub rented_at: u64,
+    pub requested_at: u64,
     pub up_at: u64,
     pub gone: bool,
     pub cut_until: u64,
@@ -35,11 +35,11 @@
     pub mute_until: u64,
     pub hung_until: u64,
     pub sick_until: u64,
-    pub session: u64,
+    pub agent_epoch: u64,
     pub seq: u64,
-    pub token: u64,
+    pub fencing_token: u64,
     pub lease_from: u64,
-    pub taken_at: Option<u64>,
+    pub spot_reclaim_at: Option<u64>,
     pub node: usize,
     pub report_out: Option<(u64, u64)>,
     pub next_report: u64,
@@ -64,7 +64,7 @@
             .max(self.deaf_until)
             .max(self.mute_until)
             .max(self.hung_until);
-        self.up(now) && now >= until && now >= self.sick_until && self.taken_at.is_none()
+        self.up(now) && now >= until && now >= self.sick_until && self.spot_reclaim_at.is_none()
     }
 
     pub fn report(&mut self) -> Report {
@@ -75,9 +75,9 @@
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
+            agent_epoch: self.agent_epoch,
             seq: self.seq,
-            token: self.token,
+            fencing_token: self.fencing_token,
             notice_s: None,
             tasks: self
                 .tasks
@@ -86,13 +86,13 @@
                     task: task.clone(),
                     attempt: running.attempt,
                     state: running.state,
-                    why: running.why,
+                    exit_reason: running.exit_reason,
                 })
                 .collect(),
         }
     }
 
-    /// Time passes: leases lapse, fetches and runs end.
+    /// Time passes: leases expiry, fetches and runs end.
     pub fn advance(&mut self, now: u64, lease_ms: u64, effects: &mut Vec<Effect>) {
         if now > self.lease_from + lease_ms {
             self.next_session(now, effects);
@@ -103,7 +103,7 @@
                 running.until = now + running.run_ms;
                 effects.push(Effect::Started { task: task.clone() });
                 if now < self.sick_until || running.run_ms == FAILS {
-                    running.exit(Why::Error);
+                    running.exit(ExitReason::Error);
                     effects.push(Effect::Left {
                         task: task.clone(),
                         done: false,
@@ -111,14 +111,14 @@
                 }
                 self.next_report = self.next_report.min(now + 200);
             } else if running.state == TaskState::Running && now >= running.until {
-                running.exit(Why::Done);
+                running.exit(ExitReason::Done);
                 effects.push(Effect::Left {
                     task: task.clone(),
                     done: true,
                 });
                 self.next_report = self.next_report.min(now + 200);
             } else if running.state == TaskState::Saving && now >= running.until {
-                running.exit(Why::Stopped);
+                running.exit(ExitReason::Stopped);
                 effects.push(Effect::Left {
                     task: task.clone(),
                     done: false,
@@ -135,7 +135,7 @@
                 effects.push(Effect::Left { task, done: false });
             }
         }
-        self.session += 1;
+        self.agent_epoch += 1;
         self.lease_from = now;
         self.report_out = None;
         self.next_report = now;
@@ -144,16 +144,16 @@
     pub fn answer(
         &mut self,
         now: u64,
-        session: u64,
+        agent_epoch: u64,
         sent: u64,
         answer: &ReportAnswer,
         run_ms: impl Fn(&str) -> u64,
         effects: &mut Vec<Effect>,
     ) {
-        if session != self.session || answer.token < self.token {
+        if agent_epoch != self.agent_epoch || answer.fencing_token < self.fencing_token {
             return;
         }
-        self.token = answer.token;
+        self.fencing_token = answer.fencing_token;
         self.lease_from = self.lease_from.max(sent);
         self.execute(now, &answer.commands, run_ms, effects);
     }
@@ -165,13 +165,13 @@
         run_ms: impl Fn(&str) -> u64,
         effects: &mut Vec<Effect>,
     ) -> bool {
-        if commands.token < self.token || commands.session != self.session {
+        if commands.fencing_token < self.fencing_token || commands.agent_epoch != self.agent_epoch {
             return false;
         }
-        if commands.token > self.token {
+        if commands.fencing_token > self.fencing_token {
             self.next_report = self.next_report.min(now + 300);
         }
-        self.token = commands.token;
+        self.fencing_token = commands.fencing_token;
         self.execute(now, &commands.commands, run_ms, effects);
         true
     }
@@ -191,7 +191,7 @@
                     let running = Running {
                         attempt: *attempt,
                         state: TaskState::Fetching,
-                        why: None,
+                        exit_reason: None,
                         until: now + 800,
                         run_ms: run_ms(task),
                     };
@@ -216,7 +216,7 @@
                                 done: false,
                             });
                         }
-                        running.exit(Why::Stopped);
+                        running.exit(ExitReason::Stopped);
                         self.next_report = self.next_report.min(now + 200);
                     }
                 }
