--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -60,8 +60,8 @@
         };
         shard.merge_report(0, &heard, ReportPath::CommandReply);
     }
-    for ix in shard.machines.indices() {
-        if let Some(machine) = shard.machines.get_mut(ix) {
+    for ix in shard.workers.machines.indices() {
+        if let Some(machine) = shard.workers.machines.get_mut(ix) {
             machine.written = true;
             // The rounds below jump ahead in time.
             machine.report_due = u64::MAX;
--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -112,11 +112,12 @@
         };
         shard.term = self.election.term;
         let unconfirmed = shard
+            .workers
             .machines
             .iter()
             .filter(|(_, machine)| machine.unconfirmed_start_term > 0);
         let unconfirmed: Vec<MachineIx> = unconfirmed.map(|(ix, _)| ix).collect();
-        shard.delivery_due.extend(unconfirmed);
+        shard.workers.delivery_due.extend(unconfirmed);
         self.place_wanted = true;
     }
 
@@ -199,17 +200,17 @@
         let Some(shard) = &mut self.shard else {
             return false;
         };
-        let wanted = self.reload_wanted || shard.needs_higher_term;
+        let wanted = self.reload_wanted || shard.workers.needs_higher_term;
         // Claiming gives up what the others promised, and can't succeed in an outage.
         if !wanted || !self.election.lease_valid(self.now) || self.now < self.term_raised_at + RAISE_TERM_EVERY_MS {
             return false;
         }
         // What is in flight depends on the claim as it is.
         self.raising_term = true;
-        if !self.reload_wanted && shard.ledger.in_flight.is_some() {
+        if !self.reload_wanted && shard.pending_writes.in_flight.is_some() {
             return false;
         }
-        shard.needs_higher_term = false;
+        shard.workers.needs_higher_term = false;
         tracing::info!(term = self.election.term, "raising the term");
         let transaction = self.election.raise_term(&self.keys, &self.watch_cache);
         self.send_claim(transaction);
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -2,8 +2,9 @@
 
 use super::{CloudReply, CloudRequest, Controller, Output, Purpose};
 use crate::Millis;
-use crate::fleet::{MachineRequestRecord, Offer};
+use crate::fleet::MachineRequestRecord;
 use crate::store::{StoreRequest, TokenBucket};
+use crate::topology::Offer;
 use crate::wire::{Change, MachineNames, MachineRequest, Transaction};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -106,7 +107,7 @@
             return;
         }
         let mut names = Vec::new();
-        for (_, machine) in shard.machines.iter() {
+        for (_, machine) in shard.workers.machines.iter() {
             if machine.decommissioned && names.len() < MAX_DELETE {
                 names.push(machine.name.clone());
             }
@@ -213,7 +214,10 @@
             "scaled out"
         );
         if got.len() < value.count as usize
-            && let (Some(type_ix), Some(zone)) = (shard.types.get(&value.machine_type), shard.zones.get(&value.zone))
+            && let (Some(type_ix), Some(zone)) = (
+                shard.topology.types.get(&value.machine_type),
+                shard.topology.zones.get(&value.zone),
+            )
         {
             let offer = Offer {
                 type_ix,
@@ -223,10 +227,13 @@
             shard.fleet.refused.insert(offer, now + REFUSED_MS);
         }
         for name in &got {
-            if shard.machines.find(name).is_none() && !shard.tombstones.contains_key(name) {
+            if shard.workers.machines.find(name).is_none() && !shard.workers.tombstones.contains_key(name) {
                 shard.add_machine(now, name, &value.machine_type, &value.zone, value.spot);
             }
         }
-        shard.ledger.settled.push_back((value.request, machine_request.version));
+        shard
+            .pending_writes
+            .settled
+            .push_back((value.request, machine_request.version));
     }
 }
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -76,7 +76,7 @@
         let in_flight = self
             .shard
             .as_ref()
-            .is_some_and(|shard| shard.ledger.in_flight.is_some());
+            .is_some_and(|shard| shard.pending_writes.in_flight.is_some());
         if !due || in_flight || self.raising_term || !self.writes.ready(self.now) || !self.requests.ready(self.now) {
             return;
         }
@@ -109,7 +109,7 @@
             return;
         };
         let committed = shard.committed(self.now, &self.keys, revision);
-        shard.delivery_due.extend(committed.delivery_due);
+        shard.workers.delivery_due.extend(committed.delivery_due);
         for (value, version) in committed.machine_requests {
             shard.fleet.machine_requests.push(crate::fleet::PendingMachineRequest {
                 value,
@@ -125,7 +125,11 @@
 
     /// The same transaction once more. `lost`: the last copy may be carried out yet.
     fn commit_again(&mut self, lost: bool) {
-        let Some(flight) = self.shard.as_mut().and_then(|shard| shard.ledger.in_flight.as_mut()) else {
+        let Some(flight) = self
+            .shard
+            .as_mut()
+            .and_then(|shard| shard.pending_writes.in_flight.as_mut())
+        else {
             return;
         };
         flight.uncertain |= lost;
@@ -137,7 +141,11 @@
         if self.check_claim_in(request, failed) {
             return;
         }
-        let Some(flight) = self.shard.as_ref().and_then(|shard| shard.ledger.in_flight.as_ref()) else {
+        let Some(flight) = self
+            .shard
+            .as_ref()
+            .and_then(|shard| shard.pending_writes.in_flight.as_ref())
+        else {
             return;
         };
         if !flight.uncertain {
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -14,11 +14,11 @@
     let mut controller = Controller::new(settings, Policy::default(), 7);
     let mut shard = shard_with(3, &[("small", 8.0)], 1, true);
     let machine = shard.add_machine(0, "host-1", "small", "north", true);
-    let machine = shard.machines.get_mut(machine).expect("there");
+    let machine = shard.workers.machines.get_mut(machine).expect("there");
     machine.written = true;
     machine.heard_at = Some(START);
     machine.report_due = Millis::MAX;
-    shard.inventory.urgent.clear();
+    shard.fleet.inventory.urgent.clear();
     shard.place(START);
     controller.now = START;
     controller.shard = Some(shard);
@@ -62,7 +62,7 @@
     let flight = controller
         .shard
         .as_ref()
-        .and_then(|shard| shard.ledger.in_flight.as_ref());
+        .and_then(|shard| shard.pending_writes.in_flight.as_ref());
     let changes = &flight.expect("in flight").transaction.changes;
     let value = changes.iter().find_map(|change| match change {
         Change::Put { put, value, .. } if put.contains("firing") => Some(value.clone()),
@@ -73,7 +73,7 @@
 
 fn chunk_version(controller: &Controller) -> u64 {
     let shard = controller.shard.as_ref().expect("leads");
-    let job = shard.jobs.find("j-1").and_then(|ix| shard.jobs.get(ix));
+    let job = shard.jobs.table.find("j-1").and_then(|ix| shard.jobs.table.get(ix));
     job.expect("known").chunks[0].version
 }
 
@@ -81,7 +81,7 @@
     controller
         .shard
         .as_ref()
-        .is_some_and(|shard| shard.ledger.in_flight.is_some())
+        .is_some_and(|shard| shard.pending_writes.in_flight.is_some())
 }
 
 /// Guards against a read of everything under a new term for each transaction
@@ -95,7 +95,7 @@
     assert!(!in_flight(&controller) && !controller.reload_wanted);
     assert_eq!(chunk_version(&controller), 12);
     let shard = controller.shard.as_ref().expect("leads");
-    assert!(shard.attempts.iter().all(|(_, attempt)| attempt.written));
+    assert!(shard.workers.attempts.iter().all(|(_, attempt)| attempt.written));
 }
 
 #[test]
@@ -106,7 +106,7 @@
     assert!(!in_flight(&controller) && !controller.reload_wanted);
     let shard = controller.shard.as_ref().expect("leads");
     assert!(shard.starts_wait());
-    assert!(shard.attempts.iter().all(|(_, attempt)| !attempt.written));
+    assert!(shard.workers.attempts.iter().all(|(_, attempt)| !attempt.written));
 }
 
 #[test]
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -109,8 +109,8 @@
         let Some(shard) = &mut self.shard else {
             return;
         };
-        let known = shard.machines.find(&name);
-        if let Some(machine) = known.and_then(|ix| shard.machines.get_mut(ix)) {
+        let known = shard.workers.machines.find(&name);
+        if let Some(machine) = known.and_then(|ix| shard.workers.machines.get_mut(ix)) {
             machine.delivery.in_flight = false;
             match &reply {
                 WorkerReply::Unanswered if machine.delivery.has_starts => {
@@ -125,7 +125,7 @@
                 let again = !std::mem::replace(&mut machine.has_unanswered_command, true);
                 if again || machine.heard_at.is_none() {
                     machine.relayed_by = None;
-                    shard.delivery_due.extend(known);
+                    shard.workers.delivery_due.extend(known);
                 }
             }
         }
@@ -139,8 +139,13 @@
     /// Commands for at most so many machines, those with open attempts first: they
     /// hold up work, the others can wait.
     fn due_commands(&mut self, now: Millis, mut max_machines: usize) -> Vec<Due> {
-        let mut machines: Vec<MachineIx> = self.delivery_due.iter().copied().collect();
-        machines.sort_by_key(|&ix| self.machines.get(ix).is_none_or(|machine| machine.open.is_empty()));
+        let mut machines: Vec<MachineIx> = self.workers.delivery_due.iter().copied().collect();
+        machines.sort_by_key(|&ix| {
+            self.workers
+                .machines
+                .get(ix)
+                .is_none_or(|machine| machine.open.is_empty())
+        });
         let mut all_due = Vec::new();
         for ix in machines {
             if max_machines == 0 {
@@ -156,17 +161,17 @@
 
     /// What a machine is due now, which then counts as sent.
     fn due_commands_of(&mut self, now: Millis, ix: MachineIx) -> Option<Due> {
-        let Some(machine) = self.machines.get(ix).filter(|machine| !machine.decommissioned) else {
-            self.delivery_due.remove(&ix);
+        let Some(machine) = self.workers.machines.get(ix).filter(|machine| !machine.decommissioned) else {
+            self.workers.delivery_due.remove(&ix);
             return None;
         };
         if machine.delivery.in_flight || now < machine.delivery.not_before {
             return None;
         }
         let (address, agent_epoch) = (machine.address.clone()?, machine.agent_epoch);
-        self.delivery_due.remove(&ix);
+        self.workers.delivery_due.remove(&ix);
         let commands = self.commands(now, ix);
-        let machine = self.machines.get_mut(ix)?;
+        let machine = self.workers.machines.get_mut(ix)?;
         let well = machine.heard_at.is_some() && machine.missed_answers == 0 && !machine.has_unanswered_command;
         if commands.is_empty() && well {
             return None;
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -44,7 +44,7 @@
         };
         shard.wall_clock = self.wall_clock;
         if self.now > self.acted_at + UNHEARD_MS {
-            shard.hearing_since = self.now;
+            shard.workers.hearing_since = self.now;
         }
         self.acted_at = self.now;
         if self.now >= self.maintained_at + MAINTENANCE_EVERY_MS {
@@ -68,8 +68,8 @@
         let Some(shard) = &mut self.shard else {
             return;
         };
-        self.place_wanted |= std::mem::take(&mut shard.capacity_changed);
-        let size = shard.machines.len() + shard.jobs.len();
+        self.place_wanted |= std::mem::take(&mut shard.workers.capacity_changed);
+        let size = shard.workers.machines.len() + shard.jobs.table.len();
         let due = if self.place_wanted {
             PLACE_EVERY_MS + size as Millis / 20
         } else {
@@ -98,11 +98,11 @@
         match merged {
             Merged::Newest(ix) => {
                 self.worker_heard_at = now;
-                let machine = shard.machines.get(ix);
+                let machine = shard.workers.machines.get(ix);
                 if machine
                     .is_some_and(|machine| !machine.unmatched_tasks.is_empty() && machine.delivery.not_before <= now)
                 {
-                    shard.delivery_due.insert(ix);
+                    shard.workers.delivery_due.insert(ix);
                 }
             }
             Merged::Outranked => {
@@ -127,7 +127,7 @@
         let (now, fencing_token) = (self.now, self.election.term);
         let shard = self.shard.as_mut()?;
         if let Merged::Newest(ix) = merged
-            && let Some(machine) = shard.machines.get_mut(ix)
+            && let Some(machine) = shard.workers.machines.get_mut(ix)
             && machine.relayed_by.as_deref() != relayed_by
         {
             machine.relayed_by = relayed_by.map(str::to_owned);
@@ -136,9 +136,10 @@
             Merged::Newest(ix) => shard.answer_commands(now, ix),
             Merged::Stale => {
                 if let Some(machine) = shard
+                    .workers
                     .machines
                     .find(&report.machine)
-                    .and_then(|ix| shard.machines.get_mut(ix))
+                    .and_then(|ix| shard.workers.machines.get_mut(ix))
                 {
                     machine.answered_at = now;
                 }
@@ -162,6 +163,7 @@
         };
         let counts: Vec<_> = shard
             .jobs
+            .table
             .iter()
             .filter(|(_, job)| job.ended.is_none())
             .filter_map(|(_, job)| {
@@ -172,28 +174,36 @@
             .take(MAX_COUNTS)
             .collect();
         tracing::debug!(
-            jobs = shard.jobs.len(),
+            jobs = shard.jobs.table.len(),
             waiting = shard
                 .jobs
+                .table
                 .iter()
                 .filter(|(_, job)| job.live())
                 .map(|(_, job)| job.waiting())
                 .sum::<u32>(),
-            open = shard.attempts.iter().count(),
-            unwritten = shard.attempts.iter().filter(|(_, attempt)| !attempt.written).count(),
+            open = shard.workers.attempts.iter().count(),
+            unwritten = shard
+                .workers
+                .attempts
+                .iter()
+                .filter(|(_, attempt)| !attempt.written)
+                .count(),
             unseen = shard
+                .workers
                 .attempts
                 .iter()
                 .filter(|(_, attempt)| attempt.observed_state.is_none())
                 .count(),
-            machines = shard.machines.len(),
+            machines = shard.workers.machines.len(),
             usable = shard
+                .workers
                 .machines
                 .iter()
                 .filter(|(_, machine)| machine.usable(self.now))
                 .count(),
             writing_ms = shard
-                .ledger
+                .pending_writes
                 .in_flight
                 .as_ref()
                 .map_or(0, |flight| self.now - flight.sent),
--- /dev/null
+++ b/src/controller/shard/mod.rs
@@ -0,0 +1,63 @@
+//! What the leader of a shard knows: the state of each slice, and the steps that concern
+//! several of them.
+
+mod attempts;
+mod jobs;
+mod loading;
+mod machines;
+
+use crate::Millis;
+use crate::fleet::Fleet;
+use crate::persistence::PendingWrites;
+use crate::pipeline::Jobs;
+use crate::policy::Policy;
+use crate::settings::Settings;
+use crate::store::Keys;
+use crate::topology::Topology;
+use crate::wire::Catalogue;
+use crate::workers::Workers;
+
+/// Everything that the leader of a shard knows of it. Made anew for every term.
+pub struct Shard {
+    pub name: String,
+    pub term: u64,
+    pub policy: Policy,
+    /// The time of day of the step now going on.
+    pub wall_clock: Millis,
+    pub machine_request_prefix: String,
+    pub topology: Topology,
+    pub jobs: Jobs,
+    pub workers: Workers,
+    pub fleet: Fleet,
+    pub pending_writes: PendingWrites,
+    /// When preemption was last looked for.
+    pub preempted_at: Millis,
+}
+
+impl Shard {
+    /// A shard of which nothing is known yet but the settings and the policy.
+    pub fn new(name: &str, term: u64, settings: &Settings, policy: &Policy) -> Shard {
+        let params = &settings.params;
+        Shard {
+            name: name.into(),
+            term,
+            policy: policy.clone(),
+            wall_clock: 0,
+            machine_request_prefix: Keys::new(name).machine_requests(),
+            topology: Topology::new(&params.zones),
+            jobs: Jobs::new(params),
+            workers: Workers::new(settings),
+            fleet: Fleet::new(params.state.value_kb),
+            pending_writes: PendingWrites::default(),
+            preempted_at: 0,
+        }
+    }
+
+    /// Takes the machine types of the cloud's catalogue.
+    pub fn set_catalogue(&mut self, catalogue: &Catalogue) {
+        self.topology.set_catalogue(catalogue);
+    }
+}
+
+#[cfg(test)]
+pub mod tests;
--- a/src/controller/shard/tests.rs
+++ b/src/controller/shard/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::settings::{Settings, tests::SAMPLE};
+use crate::store::JobKey;
 use crate::wire::{JobSpec, MachineType};
 use serde_json::json;
 
--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -58,7 +58,7 @@
                     // The job may be newer than the watch cache, which is brought up
                     // to date before firings are read; if it is still missing,
                     // it was cleaned up while these pages were read.
-                    if shard.jobs.find(job).is_some()
+                    if shard.jobs.table.find(job).is_some()
                         && let Ok(number) = number.parse()
                     {
                         shard.load_chunk(self.now, job, number, entry);
@@ -99,11 +99,11 @@
         };
         shard.loaded();
         // Asking each machine straight away spares a report interval.
-        shard.delivery_due.extend(shard.machines.indices());
+        shard.workers.delivery_due.extend(shard.workers.machines.indices());
         tracing::info!(
             term = self.election.term,
-            jobs = shard.jobs.len(),
-            machines = shard.machines.len(),
+            jobs = shard.jobs.table.len(),
+            machines = shard.workers.machines.len(),
             took_ms = self.now - self.loading_since,
             "took over the shard"
         );
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -122,7 +122,7 @@
                 WatchedChange::JobGone(id) => {
                     self.peers.counts.remove(&id);
                     if let Some(shard) = &mut self.shard {
-                        shard.deleted_jobs.push(id);
+                        shard.jobs.deleted_jobs.push(id);
                     }
                 }
             }
--- a/src/fleet/forecast.rs
+++ b/src/fleet/forecast.rs
@@ -4,7 +4,7 @@
 use crate::Millis;
 use crate::controller::Shard;
 use crate::ids::{ClassIx, Index, TeamIx};
-use crate::placement::Shape;
+use crate::resources::Shape;
 use crate::wire::Priority;
 use std::collections::BTreeMap;
 
@@ -47,7 +47,7 @@
     /// ran on average lately with some headroom, whichever is more.
     pub(super) fn forecast(&mut self, now: Millis) -> Vec<Want> {
         let mut team_wants: BTreeMap<ClassOfTeam, TeamDemand> = BTreeMap::new();
-        for (_, job) in self.jobs.iter().filter(|(_, job)| job.live()) {
+        for (_, job) in self.jobs.table.iter().filter(|(_, job)| job.live()) {
             self.fleet.demand.entry(job.class).or_insert_with(|| Demand {
                 shape: job.shape.clone(),
                 best_effort: job.best_effort,
@@ -106,7 +106,7 @@
         for (ClassOfTeam { class, team }, team_demand) in team_wants {
             let demand = self.fleet.demand.entry(class).or_default();
             let cpus = demand.shape.resources.cpus;
-            let limit = self.team_quotas[team.usize()].limit.cpus;
+            let limit = self.jobs.team_quotas[team.usize()].limit.cpus;
             let most = if limit > 0.0 && cpus > 0.0 {
                 (limit / cpus).floor()
             } else {
@@ -150,6 +150,7 @@
     /// The shortest boot of a machine that such a task fits.
     fn boot_s(&self, shape: &Shape) -> f64 {
         let fitting = self
+            .topology
             .type_info
             .iter()
             .flatten()
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -1,9 +1,10 @@
 //! Which machines are past use: silent, out of reach, sick, or never up.
 
-use super::{Offer, UNKNOWN_BOOT_S};
+use super::UNKNOWN_BOOT_S;
 use crate::Millis;
 use crate::controller::Shard;
 use crate::ids::{Index, MachineIx, ZoneIx};
+use crate::topology::Offer;
 use crate::workers::{MISSED_ANSWERS_TO_DECOMMISSION, Machine};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -68,16 +69,21 @@
     /// Decommissions what is past use; its deletion is the proof that its tasks are over.
     pub(super) fn decommission_failed(&mut self, now: Millis) {
         let overview = self.overview(now);
-        for ix in self.machines.indices() {
+        for ix in self.workers.machines.indices() {
             let silent = overview.silent.contains(&ix);
-            let Some(machine) = self.machines.get_mut(ix).filter(|machine| !machine.decommissioned) else {
+            let Some(machine) = self
+                .workers
+                .machines
+                .get_mut(ix)
+                .filter(|machine| !machine.decommissioned)
+            else {
                 continue;
             };
             machine.silent = silent;
             let Some(failure) = self.failure_of(now, ix, &overview) else {
                 continue;
             };
-            if let Some(machine) = self.machines.get_mut(ix) {
+            if let Some(machine) = self.workers.machines.get_mut(ix) {
                 tracing::info!(
                     machine = machine.name,
                     reason = failure.text(),
@@ -89,7 +95,7 @@
     }
 
     pub(super) fn silence_ms(&self) -> Millis {
-        crate::millis(self.policy.silent_reports * self.longest_report_interval_s())
+        crate::millis(self.policy.silent_reports * self.workers.longest_report_interval_s())
     }
 
     /// Notes silent zones: their machines keep their images and need no boot, so
@@ -97,19 +103,20 @@
     fn overview(&mut self, now: Millis) -> Overview {
         let silence_ms = self.silence_ms();
         let heard: Vec<Heard> = self
+            .workers
             .machines
             .iter()
             .filter_map(|(ix, machine)| {
                 Some(Heard {
                     machine: ix,
                     zone: machine.zone,
-                    at: machine.last_sign()?.max(self.hearing_since),
+                    at: machine.last_sign()?.max(self.workers.hearing_since),
                 })
             })
             .collect();
         // Told by half that silence: the first to be given up would else go one by
         // one before the others, which reported a little later, count as silent.
-        let zones = (0..self.zones.len()).map(ZoneIx::from_usize);
+        let zones = (0..self.topology.zones.len()).map(ZoneIx::from_usize);
         self.fleet.silent_zones = zones
             .filter(|&zone| {
                 let of_zone = heard.iter().filter(|heard| heard.zone == zone);
@@ -118,7 +125,8 @@
             })
             .collect();
         let silent = heard.iter().filter(|heard| now > heard.at + silence_ms);
-        let count = |bad: &dyn Fn(&Machine) -> bool| self.machines.iter().filter(|(_, machine)| bad(machine)).count();
+        let count =
+            |bad: &dyn Fn(&Machine) -> bool| self.workers.machines.iter().filter(|(_, machine)| bad(machine)).count();
         Overview {
             silent: silent.map(|heard| heard.machine).collect(),
             most_unreached: is_most(count(&is_unreached), heard.len()),
@@ -127,15 +135,15 @@
     }
 
     fn failure_of(&self, now: Millis, ix: MachineIx, overview: &Overview) -> Option<Failure> {
-        let machine = self.machines.get(ix)?;
+        let machine = self.workers.machines.get(ix)?;
         let boot_s = self.boot_s_of(machine);
         let silence_ms = self.silence_ms();
-        let unlisted_ms = crate::millis(self.longest_report_interval_s()) + 1_500;
-        let expired = now > machine.answered_at + self.lease_expiry_ms;
+        let unlisted_ms = crate::millis(self.workers.longest_report_interval_s()) + 1_500;
+        let expired = now > machine.answered_at + self.workers.lease_expiry_ms;
         let since = machine
             .last_sign()
             .unwrap_or(machine.requested_at)
-            .max(self.hearing_since);
+            .max(self.workers.hearing_since);
         let unheard = |patience: Millis| now > since + patience;
         let zone_is_silent = self.fleet.silent_zones.contains(&machine.zone);
         let replaced_ms = silence_ms + crate::millis(boot_s * REPLACED_BOOT);
@@ -165,17 +173,17 @@
     }
 
     fn boot_s_of(&self, machine: &Machine) -> f64 {
-        let info = self.type_info[machine.type_ix.usize()].as_ref();
+        let info = self.topology.type_info[machine.type_ix.usize()].as_ref();
         info.map_or(UNKNOWN_BOOT_S, |info| info.boot_s)
     }
 
     /// Whether a machine should have shown itself by now. One in a silent zone may be
     /// up and cut off, and a leader that has just begun to hear can't tell yet.
     pub(super) fn is_late(&self, now: Millis, machine: &Machine) -> bool {
-        let due_ms = crate::millis(self.boot_s_of(machine) * LATE_BOOT + self.longest_report_interval_s());
+        let due_ms = crate::millis(self.boot_s_of(machine) * LATE_BOOT + self.workers.longest_report_interval_s());
         machine.last_sign().is_none()
             && now > machine.requested_at + due_ms
-            && now > self.hearing_since + FIRST_SIGN_MS
+            && now > self.workers.hearing_since + FIRST_SIGN_MS
             && !self.fleet.silent_zones.contains(&machine.zone)
     }
 
@@ -183,7 +191,7 @@
     /// now would hardly come sooner.
     pub(super) fn late_offers(&self, now: Millis) -> BTreeSet<Offer> {
         let mut counts: BTreeMap<Offer, (usize, usize)> = BTreeMap::new();
-        for (_, machine) in self.machines.iter() {
+        for (_, machine) in self.workers.machines.iter() {
             if machine.last_sign().is_none() && !machine.decommissioned {
                 let (late, all) = counts.entry(machine.offer()).or_default();
                 *late += usize::from(self.is_late(now, machine));
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -10,8 +10,9 @@
 
 use crate::Millis;
 use crate::controller::Shard;
-use crate::ids::{ClassIx, TypeIx, ZoneIx};
-use crate::placement::Shape;
+use crate::ids::{ClassIx, ZoneIx};
+use crate::resources::Shape;
+use crate::topology::Offer;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -39,14 +40,6 @@
     pub not_before: Millis,
 }
 
-/// One way of renting a machine.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Offer {
-    pub type_ix: TypeIx,
-    pub zone: ZoneIx,
-    pub spot: bool,
-}
-
 /// What the jobs of one class ask of machines, and how many at once.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
@@ -66,6 +59,8 @@
 pub struct Fleet {
     pub machine_requests: Vec<PendingMachineRequest>,
     next_request: u64,
+    /// What a successor must know of the machines.
+    pub inventory: Inventory,
     /// Offers refused lately, and until when they are left alone.
     pub refused: BTreeMap<Offer, Millis>,
     /// Zones most of whose machines have fallen silent: most likely cut off.
@@ -78,6 +73,16 @@
     pub delete_not_before: Millis,
 }
 
+impl Fleet {
+    /// Nothing known yet; `value_kb` bounds a value of the state service.
+    pub fn new(value_kb: f64) -> Fleet {
+        Fleet {
+            inventory: Inventory::new(value_kb),
+            ..Fleet::default()
+        }
+    }
+}
+
 impl Shard {
     /// Looks over the machines and the forecast; rents and condemns.
     pub fn plan_fleet(&mut self, now: Millis) {
--- a/src/fleet/provision.rs
+++ b/src/fleet/provision.rs
@@ -1,12 +1,13 @@
 //! Renting for the forecast what the machines there are can't take, at the best
 //! price, and returning what stays unused.
 
+use super::MachineRequestRecord;
 use super::forecast::Want;
-use super::{MachineRequestRecord, Offer};
 use crate::Millis;
 use crate::controller::Shard;
 use crate::ids::{Index, MachineIx, TypeIx};
-use crate::workers::Resources;
+use crate::resources::Resources;
+use crate::topology::Offer;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines asked for at once by one request: the most that the cloud takes.
@@ -57,7 +58,7 @@
     pub(super) fn provision(&mut self, now: Millis, wants: Vec<Want>) {
         let mut places = self.places(now);
         let late_offers = self.late_offers(now);
-        let mut in_zone = vec![0u32; self.zones.len()];
+        let mut in_zone = vec![0u32; self.topology.zones.len()];
         for place in &places {
             in_zone[place.offer.zone.usize()] += 1;
         }
@@ -81,7 +82,7 @@
     fn request_machines(&mut self, new_machines: BTreeMap<Offer, u32>) {
         // Those given up are there until the cloud says that they are gone.
         let mut total =
-            self.machines.len() as u32 + self.pending_machine_requests().map(|(_, count)| count).sum::<u32>();
+            self.workers.machines.len() as u32 + self.pending_machine_requests().map(|(_, count)| count).sum::<u32>();
         for (offer, count) in new_machines {
             let most = (self.policy.max_machines as u32).saturating_sub(total);
             let mut left = count.min(most);
@@ -102,13 +103,13 @@
     /// The machines there are and those asked for. Small and busy ones come
     /// first and so are filled first, idle and dear ones last.
     pub(super) fn places(&self, now: Millis) -> Vec<Place> {
-        let mut places = Vec::with_capacity(self.machines.len());
-        for (ix, machine) in self.machines.iter() {
+        let mut places = Vec::with_capacity(self.workers.machines.len());
+        for (ix, machine) in self.workers.machines.iter() {
             let leaving = machine.decommissioned || machine.silent || machine.spot_reclaim_at.is_some();
             if leaving || machine.group.is_none() || self.is_late(now, machine) {
                 continue;
             }
-            if let Some(info) = &self.type_info[machine.type_ix.usize()] {
+            if let Some(info) = &self.topology.type_info[machine.type_ix.usize()] {
                 places.push(Place {
                     machine: Some(ix),
                     offer: machine.offer(),
@@ -119,7 +120,7 @@
             }
         }
         for (offer, count) in self.pending_machine_requests() {
-            if let Some(info) = &self.type_info[offer.type_ix.usize()] {
+            if let Some(info) = &self.topology.type_info[offer.type_ix.usize()] {
                 places.extend((0..count).map(|_| Place {
                     machine: None,
                     offer,
@@ -144,10 +145,10 @@
             .iter()
             .map(|machine_request| &machine_request.value);
         machine_requests
-            .chain(&self.ledger.machine_requests)
+            .chain(&self.pending_writes.machine_requests)
             .filter_map(|machine_request| {
-                let type_ix = self.types.get(&machine_request.machine_type)?;
-                let zone = self.zones.get(&machine_request.zone)?;
+                let type_ix = self.topology.types.get(&machine_request.machine_type)?;
+                let zone = self.topology.zones.get(&machine_request.zone)?;
                 let offer = Offer {
                     type_ix,
                     zone,
@@ -160,7 +161,7 @@
     fn scale_in_idle(&mut self, now: Millis, places: &[Place]) {
         let idle_ms = crate::millis(self.policy.idle_return_s);
         for place in places.iter().filter(|place| !place.used) {
-            let Some(machine) = place.machine.and_then(|ix| self.machines.get_mut(ix)) else {
+            let Some(machine) = place.machine.and_then(|ix| self.workers.machines.get_mut(ix)) else {
                 continue;
             };
             let up = machine.heard_at.is_some();
@@ -184,7 +185,7 @@
         late_offers: &BTreeSet<Offer>,
     ) -> Option<(Offer, u32)> {
         let mut best: Option<((bool, f64, u32), Offer, u32)> = None;
-        for (type_ix, info) in self.type_info.iter().enumerate() {
+        for (type_ix, info) in self.topology.type_info.iter().enumerate() {
             let Some(info) = info else {
                 continue;
             };
@@ -227,10 +228,10 @@
         // The term is ours alone, so the name was never used before.
         let request = format!("{}-{}-{}", self.name, self.term, self.fleet.next_request);
         self.fleet.next_request += 1;
-        self.ledger.machine_requests.push_back(MachineRequestRecord {
+        self.pending_writes.machine_requests.push_back(MachineRequestRecord {
             request,
-            machine_type: self.types.name(type_ix).into(),
-            zone: self.zones.name(zone).into(),
+            machine_type: self.topology.types.name(type_ix).into(),
+            zone: self.topology.zones.name(zone).into(),
             spot,
             count,
         });
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -9,7 +9,7 @@
     for index in 0..8 {
         let zone = if index < 4 { "north" } else { "south" };
         let ix = shard.add_machine(0, &format!("host-{index}"), "small", zone, true);
-        let machine = shard.machines.get_mut(ix).expect("there");
+        let machine = shard.workers.machines.get_mut(ix).expect("there");
         // One of the south and all of the north fall silent, the north's one
         // after the other: its last reports were not sent together.
         machine.heard_at = Some(match index {
@@ -19,26 +19,27 @@
         });
     }
     let given_up = |shard: &Shard| -> Vec<String> {
-        let machines = shard.machines.iter().map(|(_, machine)| machine);
+        let machines = shard.workers.machines.iter().map(|(_, machine)| machine);
         let decommissioned = machines.filter(|machine| machine.decommissioned);
         decommissioned.map(|machine| machine.name.clone()).collect()
     };
-    let silent_ms = crate::millis(shard.policy.silent_reports * shard.report_s * 1.25);
+    let silent_ms = crate::millis(shard.policy.silent_reports * shard.workers.report_s * 1.25);
     shard.decommission_failed(silent_ms + 1);
     assert_eq!(given_up(&shard), ["host-4"]);
     shard.decommission_failed(silent_ms + 3_001);
     assert_eq!(given_up(&shard), ["host-4"]);
-    let north = shard.zones.get("north").expect("known");
+    let north = shard.topology.zones.get("north").expect("known");
     assert!(shard.fleet.silent_zones.contains(&north));
     assert!(
         shard
+            .workers
             .machines
             .iter()
             .all(|(_, machine)| machine.silent == (machine.zone == north || machine.decommissioned))
     );
     // Until new ones would be there; the type boots for 5 s.
     let patience = silent_ms + 7_500;
-    shard.decommission_failed(patience.max(shard.lease_expiry_ms) + 3_001);
+    shard.decommission_failed(patience.max(shard.workers.lease_expiry_ms) + 3_001);
     assert_eq!(given_up(&shard).len(), 5);
 }
 
@@ -47,9 +48,9 @@
 #[test]
 fn tasks_whose_aim_is_longer_than_a_boot_follow_on_machines_that_others_leave() {
     let mut shard = shard_with(1, &[("small", 8.0)], 20, true);
-    let job = shard.jobs.find("j-1").expect("known");
+    let job = shard.jobs.table.find("j-1").expect("known");
     let mut firm = |start_by_ms, wall| {
-        let known = shard.jobs.get_mut(job).expect("there");
+        let known = shard.jobs.table.get_mut(job).expect("there");
         // Its class has an aim.
         known.best_effort = false;
         known.start_by_ms = start_by_ms;
@@ -69,19 +70,20 @@
     let mut shard = shard_with(1, &[("small", 8.0)], 1, true);
     for (name, heard_at) in [("host-1", Some(0)), ("host-2", Some(0)), ("host-3", None)] {
         let ix = shard.add_machine(0, name, "small", "north", true);
-        shard.machines.get_mut(ix).expect("there").heard_at = heard_at;
+        shard.workers.machines.get_mut(ix).expect("there").heard_at = heard_at;
     }
-    let silent_ms = crate::millis(shard.policy.silent_reports * shard.report_s * 1.25);
-    shard.hearing_since = 300_000;
+    let silent_ms = crate::millis(shard.policy.silent_reports * shard.workers.report_s * 1.25);
+    shard.workers.hearing_since = 300_000;
     shard.decommission_failed(300_000 + silent_ms);
     assert!(
         shard
+            .workers
             .machines
             .iter()
             .all(|(_, machine)| !machine.decommissioned && !machine.silent)
     );
     shard.decommission_failed(300_000 + 4 * silent_ms);
-    assert!(shard.machines.iter().all(|(_, machine)| machine.decommissioned));
+    assert!(shard.workers.machines.iter().all(|(_, machine)| machine.decommissioned));
 }
 
 #[test]
@@ -104,8 +106,8 @@
 fn best_effort_work_rents_no_ordinary_machines_unless_only_they_will_do() {
     for spot in [true, false] {
         let mut shard = shard_with(1, &[("small", 8.0)], 20, spot);
-        let job = shard.jobs.find("j-1").expect("known");
-        let known = shard.jobs.get_mut(job).expect("there");
+        let job = shard.jobs.table.find("j-1").expect("known");
+        let known = shard.jobs.table.get_mut(job).expect("there");
         assert!(known.best_effort, "its class has no aim");
         known.spec.estimate_s = 500.0;
         let wants = shard.forecast(0);
@@ -127,8 +129,8 @@
 fn a_late_machine_is_replaced_and_one_that_never_comes_is_given_up_once() {
     let mut shard = shard_with(1, &[("small", 8.0)], 20, true);
     unheard_machines(&mut shard, "north", 1);
-    let ix = shard.machines.find("host-north-0").expect("known");
-    let late = |shard: &Shard, now| shard.is_late(now, shard.machines.get(ix).expect("there"));
+    let ix = shard.workers.machines.find("host-north-0").expect("known");
+    let late = |shard: &Shard, now| shard.is_late(now, shard.workers.machines.get(ix).expect("there"));
     // The type boots for 5 s and workers report every 3 s.
     assert!(!late(&shard, 12_000));
     assert!(late(&shard, 13_000));
@@ -136,32 +138,32 @@
     assert!(shard.places(13_000).is_empty(), "others are asked for in its place");
     shard.decommission_failed(13_000);
     assert!(
-        !shard.machines.get(ix).expect("there").decommissioned,
+        !shard.workers.machines.get(ix).expect("there").decommissioned,
         "it may come yet"
     );
     // If it comes after all it counts like any other.
-    shard.machines.get_mut(ix).expect("there").heard_at = Some(14_000);
+    shard.workers.machines.get_mut(ix).expect("there").heard_at = Some(14_000);
     assert_eq!(shard.places(14_000).len(), 1);
-    shard.machines.get_mut(ix).expect("there").heard_at = None;
-    let patience = shard.lease_expiry_ms.max(25_000) + shard.silence_ms();
+    shard.workers.machines.get_mut(ix).expect("there").heard_at = None;
+    let patience = shard.workers.lease_expiry_ms.max(25_000) + shard.silence_ms();
     shard.decommission_failed(patience + 1);
-    assert!(shard.machines.get(ix).expect("there").decommissioned);
+    assert!(shard.workers.machines.get(ix).expect("there").decommissioned);
 }
 
 #[test]
 fn a_machine_of_a_silent_zone_or_of_a_new_leader_is_not_taken_for_a_failed_boot() {
     let mut shard = shard_with(1, &[("small", 8.0)], 20, true);
     unheard_machines(&mut shard, "north", 1);
-    let ix = shard.machines.find("host-north-0").expect("known");
-    let late = |shard: &Shard| shard.is_late(40_000, shard.machines.get(ix).expect("there"));
+    let ix = shard.workers.machines.find("host-north-0").expect("known");
+    let late = |shard: &Shard| shard.is_late(40_000, shard.workers.machines.get(ix).expect("there"));
     assert!(late(&shard));
-    shard.hearing_since = 35_000;
+    shard.workers.hearing_since = 35_000;
     assert!(!late(&shard), "this leader has not heard for long enough to tell");
-    shard.hearing_since = 0;
+    shard.workers.hearing_since = 0;
     shard
         .fleet
         .silent_zones
-        .insert(shard.zones.get("north").expect("known"));
+        .insert(shard.topology.zones.get("north").expect("known"));
     assert!(!late(&shard), "it may be up and cut off");
 }
 
@@ -171,6 +173,7 @@
     let mut shard = shard_with(1, &[("small", 8.0)], 20, true);
     unheard_machines(&mut shard, "north", 3);
     let offer = shard
+        .workers
         .machines
         .iter()
         .map(|(_, machine)| machine.offer())
@@ -183,7 +186,7 @@
     }
     assert!(shard.late_offers(13_000).is_empty(), "half of them are not late");
     let wants = shard.forecast(13_000);
-    let in_zone = vec![0; shard.zones.len()];
+    let in_zone = vec![0; shard.topology.zones.len()];
     let best = |late: &BTreeSet<Offer>| shard.best_offer(13_000, &wants[0], 1, true, &in_zone, late);
     let usual = best(&BTreeSet::new()).expect("one").0;
     let other = best(&BTreeSet::from([usual])).expect("another").0;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,12 +11,15 @@
 pub mod ids;
 pub mod memory;
 pub mod peers;
+pub mod persistence;
 pub mod pipeline;
 pub mod placement;
 pub mod policy;
+pub mod resources;
 pub mod runtime;
 pub mod settings;
 pub mod store;
+pub mod topology;
 pub mod wire;
 pub mod workers;
 
--- a/src/pipeline/ledger.rs
+++ b/src/persistence/mod.rs
@@ -4,11 +4,11 @@
 //! the version of every key it changes, so that a copy applied late, or sent by
 //! a former leader, changes nothing.
 
-use super::{ChunkValue, OpenRecord};
 use crate::Millis;
 use crate::controller::Shard;
 use crate::fleet::{GroupValue, MachineRequestRecord, Member};
 use crate::ids::{ChunkId, GroupIx, JobIx, MachineIx};
+use crate::pipeline::{ChunkValue, OpenRecord};
 use crate::store::Keys;
 use crate::wire::{Change, Condition, JobState, Transaction};
 use crate::workers::Outcome;
@@ -22,7 +22,7 @@
 const MAX_BYTES: usize = 40_000;
 
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct PendingWrites {
     /// Chunks with attempts that start once they are written.
     pub starts: BTreeSet<ChunkId>,
     /// Chunks in which something else has changed.
@@ -66,14 +66,14 @@
 impl Shard {
     /// Something is to be written that work or users wait for.
     pub fn starts_wait(&self) -> bool {
-        !(self.ledger.starts.is_empty()
-            && self.ledger.finished.is_empty()
-            && self.ledger.machine_requests.is_empty()
-            && self.inventory.urgent.is_empty())
+        !(self.pending_writes.starts.is_empty()
+            && self.pending_writes.finished.is_empty()
+            && self.pending_writes.machine_requests.is_empty()
+            && self.fleet.inventory.urgent.is_empty())
     }
 }
 
-impl Ledger {
+impl PendingWrites {
     /// Nothing of this job is left to write. Its index may be given to another.
     pub fn forget_job(&mut self, job: JobIx) {
         self.starts.retain(|chunk| chunk.job != job);
@@ -123,7 +123,7 @@
         max_ops: usize,
         spare: usize,
     ) -> Option<Arc<Transaction>> {
-        if self.ledger.in_flight.is_some() {
+        if self.pending_writes.in_flight.is_some() {
             return None;
         }
         self.forget_deleted_jobs();
@@ -142,7 +142,7 @@
         self.draft_finished(keys, &mut draft, &mut flight);
         self.draft_inventory(keys, false, &mut draft, &mut flight);
         self.draft_machine_requests(keys, &mut draft, &mut flight);
-        let starts = self.ledger.starts.clone();
+        let starts = self.pending_writes.starts.clone();
         self.draft_chunks(keys, starts, &mut draft, &mut flight);
         draft.ops = max_ops.min(spare.max(draft.transaction.changes.len()));
         // Half of it for clean-ups, so that they are never put off for good.
@@ -150,9 +150,9 @@
         draft.ops = most.min(draft.transaction.changes.len() + spare.div_ceil(2));
         self.draft_cleanups(keys, &mut draft, &mut flight);
         draft.ops = most;
-        let chunks = self.ledger.chunks.iter().copied();
+        let chunks = self.pending_writes.chunks.iter().copied();
         let chunks = chunks.filter(|&ChunkId { job, number }| {
-            let chunk = self.jobs.get(job).and_then(|job| job.chunks.get(number as usize));
+            let chunk = self.jobs.table.get(job).and_then(|job| job.chunks.get(number as usize));
             chunk.is_none_or(|chunk| now >= chunk.drafted_at + REWRITE_MS)
         });
         let chunks = chunks.collect();
@@ -163,17 +163,17 @@
         }
         let transaction = Arc::new(draft.transaction);
         flight.transaction = transaction.clone();
-        self.ledger.in_flight = Some(flight);
+        self.pending_writes.in_flight = Some(flight);
         Some(transaction)
     }
 
     fn draft_finished(&mut self, keys: &Keys, draft: &mut Draft, flight: &mut InFlight) {
-        for ix in self.ledger.finished.clone() {
+        for ix in self.pending_writes.finished.clone() {
             if !draft.has_space(2, 1_500) {
                 return;
             }
-            self.ledger.finished.remove(&ix);
-            let Some(job) = self.jobs.get_mut(ix) else {
+            self.pending_writes.finished.remove(&ix);
+            let Some(job) = self.jobs.table.get_mut(ix) else {
                 continue;
             };
             if job.ended.is_some() {
@@ -202,33 +202,36 @@
 
     /// Inventory groups: `late` ones as well, or only those that machines wait for.
     fn draft_inventory(&mut self, keys: &Keys, late: bool, draft: &mut Draft, flight: &mut InFlight) {
-        let mut due: BTreeSet<GroupIx> = self.inventory.urgent.clone();
+        let mut due: BTreeSet<GroupIx> = self.fleet.inventory.urgent.clone();
         if late {
-            due.extend(&self.inventory.late);
+            due.extend(&self.fleet.inventory.late);
         }
         for ix in due {
-            let Some(group) = self.inventory.groups.get(ix) else {
-                self.inventory.urgent.remove(&ix);
-                self.inventory.late.remove(&ix);
+            let Some(group) = self.fleet.inventory.groups.get(ix) else {
+                self.fleet.inventory.urgent.remove(&ix);
+                self.fleet.inventory.late.remove(&ix);
                 continue;
             };
             let bytes = 100 + group.members.len() * 120;
             if !draft.has_space(1, bytes) {
                 return;
             }
-            self.inventory.urgent.remove(&ix);
-            self.inventory.late.remove(&ix);
+            self.fleet.inventory.urgent.remove(&ix);
+            self.fleet.inventory.late.remove(&ix);
             if group.members.is_empty() && group.version == 0 {
-                self.inventory.forget(ix);
+                self.fleet.inventory.forget(ix);
                 continue;
             }
             let key = keys.inventory(&group.name);
             draft.require(key.clone(), group.version);
-            let members = group.members.iter().filter_map(|&member| self.machines.get(member));
+            let members = group
+                .members
+                .iter()
+                .filter_map(|&member| self.workers.machines.get(member));
             let machines: Vec<Member> = members
                 .map(|machine| {
-                    let type_name = self.types.name(machine.type_ix).to_owned();
-                    let zone = self.zones.name(machine.zone).to_owned();
+                    let type_name = self.topology.types.name(machine.type_ix).to_owned();
+                    let zone = self.topology.zones.name(machine.zone).to_owned();
                     (
                         machine.name.clone(),
                         type_name,
@@ -250,7 +253,7 @@
 
     fn draft_machine_requests(&mut self, keys: &Keys, draft: &mut Draft, flight: &mut InFlight) {
         while draft.has_space(1, 200) {
-            let Some(machine_request) = self.ledger.machine_requests.pop_front() else {
+            let Some(machine_request) = self.pending_writes.machine_requests.pop_front() else {
                 break;
             };
             let key = keys.machine_request(&machine_request.request);
@@ -259,8 +262,8 @@
             flight.machine_requests.push(machine_request);
         }
         // A machine request's key goes only after the machines it brought are written.
-        while self.inventory.urgent.is_empty() && draft.has_space(1, 100) {
-            let Some((request, version)) = self.ledger.settled.pop_front() else {
+        while self.fleet.inventory.urgent.is_empty() && draft.has_space(1, 100) {
+            let Some((request, version)) = self.pending_writes.settled.pop_front() else {
                 break;
             };
             draft.require(keys.machine_request(&request), version);
@@ -271,25 +274,25 @@
     fn draft_chunks(&mut self, keys: &Keys, due: BTreeSet<ChunkId>, draft: &mut Draft, flight: &mut InFlight) {
         for chunk_id in due {
             let ChunkId { job: ix, number } = chunk_id;
-            let Some(job) = self.jobs.get_mut(ix) else {
-                self.ledger.drafted(chunk_id);
+            let Some(job) = self.jobs.table.get_mut(ix) else {
+                self.pending_writes.drafted(chunk_id);
                 continue;
             };
             if job.ended.is_some() || job.complete() {
                 // Its end says all that needs to be said; the chunk only has
                 // to know that nothing is left unwritten.
-                self.ledger.drafted(chunk_id);
+                self.pending_writes.drafted(chunk_id);
                 job.chunks[number as usize].dirty = false;
                 continue;
             }
-            let first = number * self.chunk_tasks;
-            let range = first..(first + self.chunk_tasks).min(job.spec.tasks);
+            let first = number * self.jobs.chunk_tasks;
+            let range = first..(first + self.jobs.chunk_tasks).min(job.spec.tasks);
             let mut open: Vec<OpenRecord> = Vec::new();
             for (&task, &attempt) in job.open.range(range.clone()) {
-                let Some(attempt) = self.attempts.get_mut(attempt) else {
+                let Some(attempt) = self.workers.attempts.get_mut(attempt) else {
                     continue;
                 };
-                let Some(machine) = self.machines.get(attempt.machine) else {
+                let Some(machine) = self.workers.machines.get(attempt.machine) else {
                     continue;
                 };
                 if !attempt.withdrawn {
@@ -302,9 +305,9 @@
             if !draft.has_space(1, bytes) && !draft.transaction.changes.is_empty() {
                 return;
             }
-            self.ledger.drafted(chunk_id);
+            self.pending_writes.drafted(chunk_id);
             for attempt in job.open.range(range).map(|(_, &attempt)| attempt) {
-                if let Some(attempt) = self.attempts.get_mut(attempt)
+                if let Some(attempt) = self.workers.attempts.get_mut(attempt)
                     && (!attempt.written || attempt.withdrawn)
                 {
                     attempt.writing = true;
@@ -329,13 +332,13 @@
     }
 
     fn draft_cleanups(&mut self, keys: &Keys, draft: &mut Draft, flight: &mut InFlight) {
-        for ix in self.ledger.cleanups.clone() {
-            let Some(job) = self.jobs.get_mut(ix) else {
-                self.ledger.cleanups.remove(&ix);
+        for ix in self.pending_writes.cleanups.clone() {
+            let Some(job) = self.jobs.table.get_mut(ix) else {
+                self.pending_writes.cleanups.remove(&ix);
                 continue;
             };
             if !job.open.is_empty() || job.ended.is_none() {
-                self.ledger.cleanups.remove(&ix);
+                self.pending_writes.cleanups.remove(&ix);
                 continue;
             }
             let left = job.chunks.iter().filter(|chunk| chunk.version > 0).count();
@@ -358,7 +361,7 @@
                 draft.change(Change::delete(keys.job(&job.id)), 100);
             }
             flight.cleanups.push((ix, last));
-            self.ledger.cleanups.remove(&ix);
+            self.pending_writes.cleanups.remove(&ix);
             if !last {
                 return;
             }
@@ -368,20 +371,20 @@
     /// The transaction in flight was applied at `revision`.
     pub fn committed(&mut self, now: Millis, keys: &Keys, revision: u64) -> Committed {
         let mut result = Committed::default();
-        let Some(flight) = self.ledger.in_flight.take() else {
+        let Some(flight) = self.pending_writes.in_flight.take() else {
             return result;
         };
         for ChunkId { job: ix, number } in flight.chunks {
-            let Some(job) = self.jobs.get_mut(ix) else {
+            let Some(job) = self.jobs.table.get_mut(ix) else {
                 continue;
             };
             let chunk = &mut job.chunks[number as usize];
             chunk.version = revision;
             chunk.writing = false;
-            let first = number * self.chunk_tasks;
+            let first = number * self.jobs.chunk_tasks;
             let mut gone = Vec::new();
-            for ix in job.open.range(first..first + self.chunk_tasks).map(|(_, &a)| a) {
-                if let Some(attempt) = self.attempts.get_mut(ix)
+            for ix in job.open.range(first..first + self.jobs.chunk_tasks).map(|(_, &a)| a) {
+                if let Some(attempt) = self.workers.attempts.get_mut(ix)
                     && attempt.writing
                 {
                     attempt.writing = false;
@@ -398,11 +401,11 @@
             }
         }
         for ix in flight.finished {
-            if let Some(job) = self.jobs.get_mut(ix) {
+            if let Some(job) = self.jobs.table.get_mut(ix) {
                 job.ended = Some(JobState::Done);
                 job.key_version = revision;
                 result.done.push(job.id.clone());
-                self.ledger.cleanups.insert(ix);
+                self.pending_writes.cleanups.insert(ix);
             }
         }
         let deleted = flight.transaction.changes.iter().filter_map(|change| match change {
@@ -411,7 +414,7 @@
         });
         let deleted: BTreeSet<&str> = deleted.collect();
         for (ix, last) in flight.cleanups {
-            let Some(job) = self.jobs.get_mut(ix) else {
+            let Some(job) = self.jobs.table.get_mut(ix) else {
                 continue;
             };
             for (number, chunk) in job.chunks.iter_mut().enumerate() {
@@ -423,7 +426,7 @@
                 let id = job.id.clone();
                 self.remove_job(&id);
             } else {
-                self.ledger.cleanups.insert(ix);
+                self.pending_writes.cleanups.insert(ix);
             }
         }
         for (ix, names) in flight.groups {
@@ -431,12 +434,17 @@
                 self.group_dropped(ix);
                 continue;
             }
-            if let Some(group) = self.inventory.groups.get_mut(ix) {
+            if let Some(group) = self.fleet.inventory.groups.get_mut(ix) {
                 group.version = revision;
             }
             // By name: an index may be another machine's by now.
             for name in names {
-                if let Some(machine) = self.machines.find(&name).and_then(|ix| self.machines.get_mut(ix)) {
+                if let Some(machine) = self
+                    .workers
+                    .machines
+                    .find(&name)
+                    .and_then(|ix| self.workers.machines.get_mut(ix))
+                {
                     machine.written = true;
                 }
             }
@@ -451,35 +459,40 @@
 
     /// A group's key is deleted. Machines may have joined it meanwhile.
     fn group_dropped(&mut self, ix: GroupIx) {
-        match self.inventory.groups.get_mut(ix) {
+        match self.fleet.inventory.groups.get_mut(ix) {
             Some(group) if !group.members.is_empty() => group.version = 0,
-            _ => self.inventory.forget(ix),
+            _ => self.fleet.inventory.forget(ix),
         }
     }
 
     /// The transaction in flight was surely not applied: everything in it has
     /// to be considered again.
     pub fn not_applied(&mut self) {
-        let Some(flight) = self.ledger.in_flight.take() else {
+        let Some(flight) = self.pending_writes.in_flight.take() else {
             return;
         };
         for chunk_id in flight.chunks {
-            if let Some(job) = self.jobs.get_mut(chunk_id.job) {
+            if let Some(job) = self.jobs.table.get_mut(chunk_id.job) {
                 let chunk = &mut job.chunks[chunk_id.number as usize];
                 chunk.writing = false;
                 chunk.dirty = true;
                 for attempt in job.open.values() {
-                    if let Some(attempt) = self.attempts.get_mut(*attempt) {
+                    if let Some(attempt) = self.workers.attempts.get_mut(*attempt) {
                         attempt.writing = false;
                     }
                 }
-                self.ledger.starts.insert(chunk_id);
+                self.pending_writes.starts.insert(chunk_id);
             }
         }
-        self.ledger.finished.extend(flight.finished);
-        self.ledger.cleanups.extend(flight.cleanups.iter().map(|(ix, _)| *ix));
-        self.inventory.urgent.extend(flight.groups.iter().map(|(ix, _)| *ix));
-        self.ledger.machine_requests.extend(flight.machine_requests);
+        self.pending_writes.finished.extend(flight.finished);
+        self.pending_writes
+            .cleanups
+            .extend(flight.cleanups.iter().map(|(ix, _)| *ix));
+        self.fleet
+            .inventory
+            .urgent
+            .extend(flight.groups.iter().map(|(ix, _)| *ix));
+        self.pending_writes.machine_requests.extend(flight.machine_requests);
         // Plain deletions of machine request keys carry their own versions.
         let versions: BTreeMap<&str, u64> = flight
             .transaction
@@ -493,7 +506,7 @@
             };
             let version = versions.get(delete.as_str()).copied().unwrap_or(0);
             if let Some(request) = delete.strip_prefix(&self.machine_request_prefix) {
-                self.ledger.settled.push_back((request.into(), version));
+                self.pending_writes.settled.push_back((request.into(), version));
             }
         }
     }
--- a/src/pipeline/mod.rs
+++ b/src/pipeline/mod.rs
@@ -4,19 +4,21 @@
 //! attempts and the next attempt number. A firing is written there with its
 //! placements before any of its tasks is started.
 
-pub mod ledger;
+mod jobs;
+mod quota;
 mod taskset;
 mod trigger;
 
+pub use jobs::Jobs;
+pub use quota::TeamQuota;
 pub use taskset::TaskSet;
 pub use trigger::BySet;
 
 use crate::Millis;
 use crate::ids::{AttemptIx, ClassIx, ImageIx, MachineIx, Names, TeamIx, TypeIx, ZoneIx};
-use crate::placement::Shape;
+use crate::resources::{Resources, Shape};
 use crate::store::JobKey;
 use crate::wire::{JobSpec, JobState, Priority};
-use crate::workers::Resources;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/src/placement/machine_view.rs
+++ b/src/placement/machine_view.rs
@@ -1,12 +1,13 @@
 //! The machines as one round of placement sees them: only what the choice needs,
 //! side by side, so that looking at all of them is cheap.
 
-use super::{FullShapes, Shape};
+use super::FullShapes;
 use crate::Millis;
 use crate::controller::Shard;
 use crate::ids::{ImageIx, Index, MachineIx, TypeIx, ZoneIx};
 use crate::pipeline::Job;
-use crate::workers::Resources;
+use crate::resources::Resources;
+use crate::resources::Shape;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -123,12 +124,12 @@
 
 impl MachineView {
     pub fn new(shard: &Shard, now: Millis) -> MachineView {
-        let mut slots = Vec::with_capacity(shard.machines.len());
-        for (machine_ix, machine) in shard.machines.iter() {
+        let mut slots = Vec::with_capacity(shard.workers.machines.len());
+        for (machine_ix, machine) in shard.workers.machines.iter() {
             if !machine.usable(now) {
                 continue;
             }
-            if let Some(info) = &shard.type_info[machine.type_ix.usize()] {
+            if let Some(info) = &shard.topology.type_info[machine.type_ix.usize()] {
                 slots.push(Slot {
                     machine: machine_ix,
                     type_ix: machine.type_ix,
@@ -152,7 +153,7 @@
     /// Which slots hold or fetch an image, noted once a round.
     fn note_holders(&mut self, shard: &Shard, image: ImageIx) {
         self.holders.entry(image).or_insert_with(|| {
-            let machines = self.slots.iter().map(|slot| shard.machines.get(slot.machine));
+            let machines = self.slots.iter().map(|slot| shard.workers.machines.get(slot.machine));
             machines
                 .map(|machine| machine.is_some_and(|machine| machine.holds(image)))
                 .collect()
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -5,12 +5,12 @@
 
 fn shard(machines: &[(bool, bool, f64, Option<u32>)]) -> (Shard, JobIx) {
     let mut shard = shard_with(1, &[("small", 8.0), ("large", 16.0)], 40, true);
-    let job = shard.jobs.find("j-1").expect("known");
-    let image = shard.jobs.get(job).expect("there").image;
+    let job = shard.jobs.table.find("j-1").expect("known");
+    let image = shard.jobs.table.get(job).expect("there").image;
     for (number, &(large, spot, used, holds)) in machines.iter().enumerate() {
         let type_name = if large { "large" } else { "small" };
         let ix = shard.add_machine(0, &format!("host-{number}"), type_name, "north", spot);
-        let machine = shard.machines.get_mut(ix).expect("there");
+        let machine = shard.workers.machines.get_mut(ix).expect("there");
         machine.written = true;
         machine.heard_at = Some(0);
         machine.used.cpus = used;
@@ -24,8 +24,10 @@
 /// Algorithm 1 as the plain scan of all machines states it.
 fn plain_scan(shard: &Shard, job: &Job) -> Option<MachineIx> {
     let mut best: Option<((bool, bool, f64, f64), MachineIx)> = None;
-    for (ix, machine) in shard.machines.iter() {
-        let info = shard.type_info[machine.type_ix.usize()].as_ref().expect("known");
+    for (ix, machine) in shard.workers.machines.iter() {
+        let info = shard.topology.type_info[machine.type_ix.usize()]
+            .as_ref()
+            .expect("known");
         let free = info.resources.minus(machine.used);
         if !machine.usable(0) || !job.shape.allows(machine.type_ix, machine.zone, machine.spot) {
             continue;
@@ -40,8 +42,10 @@
 
 /// A machine that the job may use holds its image and has no room for its task.
 fn holder_is_full(shard: &Shard, job: &Job) -> bool {
-    shard.machines.iter().any(|(_, machine)| {
-        let info = shard.type_info[machine.type_ix.usize()].as_ref().expect("known");
+    shard.workers.machines.iter().any(|(_, machine)| {
+        let info = shard.topology.type_info[machine.type_ix.usize()]
+            .as_ref()
+            .expect("known");
         let allowed = job.shape.allows(machine.type_ix, machine.zone, machine.spot);
         allowed && machine.holds(job.image) && !info.resources.minus(machine.used).fits(job.shape.resources)
     })
@@ -53,11 +57,11 @@
 fn full_holders_elsewhere_keep_no_job_of_a_zone_waiting() {
     let (mut shard, job_ix) = shard(&[(false, true, 8.0, Some(0))]);
     let empty = shard.add_machine(0, "host-south", "small", "south", true);
-    let machine = shard.machines.get_mut(empty).expect("there");
+    let machine = shard.workers.machines.get_mut(empty).expect("there");
     machine.written = true;
     machine.heard_at = Some(0);
     let south = machine.zone;
-    let job = shard.jobs.get(job_ix).expect("there");
+    let job = shard.jobs.table.get(job_ix).expect("there");
     let mut view = MachineView::new(&shard, 0);
     let anywhere = view.room_for(&shard, job, &None);
     assert_eq!(anywhere, RoomFor::BesideFullHolder { place: 1 });
@@ -75,12 +79,12 @@
     ) {
         let (mut shard, job_ix) = shard(&machines);
         let mut view = MachineView::new(&shard, 0);
-        let mut ranking = view.rank(&shard, shard.jobs.get(job_ix).expect("there"), &None);
+        let mut ranking = view.rank(&shard, shard.jobs.table.get(job_ix).expect("there"), &None);
         for _ in 0..tasks {
-            let job = shard.jobs.get(job_ix).expect("there");
+            let job = shard.jobs.table.get(job_ix).expect("there");
             let expected = plain_scan(&shard, job);
             let (resources, image) = (job.shape.resources, job.image);
-            let held = |best: &MachineIx| shard.machines.get(*best).is_some_and(|machine| machine.holds(image));
+            let held = |best: &MachineIx| shard.workers.machines.get(*best).is_some_and(|machine| machine.holds(image));
             let room_for = match (expected, holder_is_full(&shard, job)) {
                 (None, _) => RoomFor::Nowhere,
                 (Some(best), _) if held(&best) => RoomFor::AtHolder,
@@ -99,7 +103,7 @@
                 break;
             };
             view.note_image(place, image);
-            let machine = shard.machines.get_mut(view.take(place, resources)).expect("there");
+            let machine = shard.workers.machines.get_mut(view.take(place, resources)).expect("there");
             machine.used.add(resources);
             machine.touch(image, 1.0, 50.0);
         }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -8,8 +8,9 @@
 use crate::controller::Shard;
 use crate::ids::{ChunkId, Index, JobIx, MachineIx, TypeIx, ZoneIx};
 use crate::pipeline::Job;
+use crate::resources::{Resources, Shape};
 use crate::wire::Priority;
-use crate::workers::{Attempt, Resources, split_task};
+use crate::workers::{Attempt, split_task};
 use machine_view::{MachineView, Ranking, RoomFor};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -17,70 +18,6 @@
 /// Attempts planned in one round, so that a round stays short.
 const ROUND: usize = 200;
 
-/// A type of machine as the catalogue gives it.
-#[derive(Clone, Debug)]
-pub struct TypeInfo {
-    pub resources: Resources,
-    pub cache_gb: f64,
-    pub fetch_gb_per_s: f64,
-    pub price: f64,
-    pub spot_price: Option<f64>,
-    pub boot_s: f64,
-    pub zones: Vec<ZoneIx>,
-}
-
-#[derive(Clone, Copy, Debug, Default)]
-pub struct TeamQuota {
-    pub guarantee: Resources,
-    /// 0: no limit.
-    pub limit: Resources,
-    pub used: Resources,
-}
-
-impl TeamQuota {
-    pub fn allows(&self, need: Resources) -> bool {
-        let within = |used: f64, need: f64, limit: f64| limit <= 0.0 || used + need <= limit + 1e-6;
-        within(self.used.cpus, need.cpus, self.limit.cpus) && within(self.used.gpus, need.gpus, self.limit.gpus)
-    }
-}
-
-/// What a task takes and which machines it may be on.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shape {
-    pub resources: Resources,
-    /// `None` for any.
-    pub types: Option<Vec<TypeIx>>,
-    pub zone: Option<ZoneIx>,
-    pub spot: bool,
-}
-
-impl Shape {
-    pub fn allows(&self, type_ix: TypeIx, zone: ZoneIx, spot: bool) -> bool {
-        (self.spot || !spot)
-            && self.types.as_ref().is_none_or(|types| types.contains(&type_ix))
-            && self.zone.is_none_or(|only| only == zone)
-    }
-
-    /// Whether both may be on the same machines, whatever they take there.
-    pub fn allows_the_same(&self, other: &Shape) -> bool {
-        (&self.types, self.zone, self.spot) == (&other.types, other.zone, other.spot)
-    }
-
-    /// Whether it asks for all that `other` asks for: where there is no room for
-    /// `other` there is none for it either.
-    pub fn needs_at_least(&self, other: &Shape) -> bool {
-        let types_within = match (&self.types, &other.types) {
-            (_, None) => true,
-            (None, Some(_)) => false,
-            (Some(own), Some(others)) => own.iter().all(|type_ix| others.contains(type_ix)),
-        };
-        self.resources.fits(other.resources)
-            && types_within
-            && (other.zone.is_none() || self.zone == other.zone)
-            && (other.spot || !self.spot)
-    }
-}
-
 /// Shapes known to find no room. Only the least demanding are kept, since jobs of
 /// one class differ in size and each would else be looked for again.
 #[derive(Debug, Default)]
@@ -126,7 +63,7 @@
         let mut round = Round {
             now,
             view: MachineView::new(self, now),
-            held_teams: vec![false; self.team_quotas.len()],
+            held_teams: vec![false; self.jobs.team_quotas.len()],
             left: ROUND,
         };
         // What would starve gets one task each before all others, and is then
@@ -151,7 +88,7 @@
         let mut skipped = false;
         let mut placed = 0;
         while placed < most && round.left > 0 {
-            let Some(job) = self.jobs.get_mut(ix) else {
+            let Some(job) = self.jobs.table.get_mut(ix) else {
                 return;
             };
             if job.fails_everywhere() && !job.open.is_empty() {
@@ -164,7 +101,7 @@
             let (resources, team, image) = (job.shape.resources, job.team.usize(), job.image);
             let is_bound_to_zones = job.is_bound_to_zones();
             let pressing = starving || job.old(self.wall_clock);
-            if round.held_teams[team] || !self.team_quotas[team].allows(resources) {
+            if round.held_teams[team] || !self.jobs.team_quotas[team].allows(resources) {
                 // Small tasks would for ever use up what the team's limit
                 // leaves, and never leave it enough.
                 round.held_teams[team] |= pressing;
@@ -191,7 +128,7 @@
                     placed += 1;
                 }
                 Choice::Wait { until } => {
-                    if let Some(job) = self.jobs.get_mut(ix) {
+                    if let Some(job) = self.jobs.table.get_mut(ix) {
                         job.waiting_until = Some(until);
                     }
                     return;
@@ -205,7 +142,7 @@
     }
 
     fn found_no_room(&mut self, ix: JobIx, pressing: bool, round: &mut Round) {
-        if let Some(job) = self.jobs.get_mut(ix) {
+        if let Some(job) = self.jobs.table.get_mut(ix) {
             job.forgive(round.now);
             // Small tasks would fill for ever what it needs whole.
             if pressing {
@@ -216,7 +153,7 @@
 
     /// Whether a machine still lists an earlier attempt of this task.
     fn lists_earlier(&self, machine: MachineIx, job: JobIx, task: u32) -> bool {
-        let (Some(machine), Some(job)) = (self.machines.get(machine), self.jobs.get(job)) else {
+        let (Some(machine), Some(job)) = (self.workers.machines.get(machine), self.jobs.table.get(job)) else {
             return false;
         };
         machine
@@ -230,15 +167,16 @@
     fn guaranteed_jobs(&self) -> BTreeSet<JobIx> {
         let mut by_arrival: Vec<(u64, JobIx)> = self
             .jobs
+            .table
             .iter()
             .filter(|(_, job)| job.live())
             .map(|(ix, job)| (job.accepted_ms, ix))
             .collect();
         by_arrival.sort_unstable();
-        let mut used = vec![Resources::default(); self.team_quotas.len()];
+        let mut used = vec![Resources::default(); self.jobs.team_quotas.len()];
         let mut guaranteed = BTreeSet::new();
         for (_, ix) in by_arrival {
-            let Some(job) = self.jobs.get(ix) else {
+            let Some(job) = self.jobs.table.get(ix) else {
                 continue;
             };
             let tasks = f64::from(job.spec.tasks - job.done.len());
@@ -248,7 +186,7 @@
                 gpus: job.shape.resources.gpus * tasks,
                 memory_gb: 0.0,
             });
-            let guarantee = self.team_quotas[job.team.usize()].guarantee;
+            let guarantee = self.jobs.team_quotas[job.team.usize()].guarantee;
             if used.cpus <= guarantee.cpus + 1e-6 && used.gpus <= guarantee.gpus + 1e-6 {
                 guaranteed.insert(ix);
             }
@@ -258,7 +196,7 @@
 
     /// Live jobs none of whose tasks was placed for long, the oldest first.
     fn starving_jobs(&self) -> Vec<JobIx> {
-        let starving = self.jobs.iter().filter(|(_, job)| job.starving(self.wall_clock));
+        let starving = self.jobs.table.iter().filter(|(_, job)| job.starving(self.wall_clock));
         let mut jobs: Vec<_> = starving.map(|(ix, job)| (job.accepted_ms, ix)).collect();
         jobs.sort_unstable();
         jobs.into_iter().map(|(_, ix)| ix).collect()
@@ -271,6 +209,7 @@
         let guaranteed = self.guaranteed_jobs();
         let mut order: Vec<_> = self
             .jobs
+            .table
             .iter()
             .filter(|(_, job)| job.live() && job.waiting() > 0)
             .map(|(ix, job)| {
@@ -290,7 +229,7 @@
     /// `skipped`: it leaves out machines that only this task can't use.
     fn choose(&self, ix: JobIx, ranking: &mut Option<Ranking>, skipped: bool, round: &mut Round) -> Choice {
         let view = &mut round.view;
-        let Some(job) = self.jobs.get(ix) else {
+        let Some(job) = self.jobs.table.get(ix) else {
             return Choice::NoRoom;
         };
         if view.is_full_for(&job.shape) {
@@ -335,7 +274,7 @@
     /// fetch it on one of the given type.
     fn waits_until(&self, job: &Job, type_ix: TypeIx, now: Millis) -> Millis {
         job.waiting_until.unwrap_or_else(|| {
-            let info = self.type_info[type_ix.usize()].as_ref();
+            let info = self.topology.type_info[type_ix.usize()].as_ref();
             let fetch_s = info.map_or(0.0, |info| job.spec.image_gb / info.fetch_gb_per_s.max(0.001));
             // Waiting longer than the fetch that it saves gains nothing.
             now + crate::millis(self.policy.locality_wait_s.min(fetch_s))
@@ -348,9 +287,9 @@
         if !job.is_bound_to_zones() {
             return None;
         }
-        let mut counts = vec![0u32; self.zones.len()];
-        for attempt in job.open.values().filter_map(|&ix| self.attempts.get(ix)) {
-            if let Some(machine) = self.machines.get(attempt.machine) {
+        let mut counts = vec![0u32; self.topology.zones.len()];
+        for attempt in job.open.values().filter_map(|&ix| self.workers.attempts.get(ix)) {
+            if let Some(machine) = self.workers.machines.get(attempt.machine) {
                 counts[machine.zone.usize()] += 1;
             }
         }
@@ -365,10 +304,13 @@
     }
 
     pub(crate) fn open_attempt(&mut self, job_ix: JobIx, task: u32, machine_ix: MachineIx) {
-        let (Some(job), Some(machine)) = (self.jobs.get_mut(job_ix), self.machines.get_mut(machine_ix)) else {
+        let (Some(job), Some(machine)) = (
+            self.jobs.table.get_mut(job_ix),
+            self.workers.machines.get_mut(machine_ix),
+        ) else {
             return;
         };
-        let number = job.chunk_of(task, self.chunk_tasks);
+        let number = job.chunk_of(task, self.jobs.chunk_tasks);
         let chunk = &mut job.chunks[number];
         let attempt = Attempt {
             job: job_ix,
@@ -394,16 +336,16 @@
             job.waiting_until = None;
         }
         let resources = job.shape.resources;
-        self.team_quotas[job.team.usize()].used.add(resources);
+        self.jobs.team_quotas[job.team.usize()].used.add(resources);
         machine.used.add(resources);
-        let cache_gb = self.type_info[machine.type_ix.usize()]
+        let cache_gb = self.topology.type_info[machine.type_ix.usize()]
             .as_ref()
             .map_or(0.0, |info| info.cache_gb);
         machine.touch(job.image, job.spec.image_gb, cache_gb);
-        let ix = self.attempts.insert(attempt);
+        let ix = self.workers.attempts.insert(attempt);
         machine.open.push(ix);
         job.open.insert(task, ix);
-        self.ledger.starts.insert(ChunkId {
+        self.pending_writes.starts.insert(ChunkId {
             job: job_ix,
             number: number as u32,
         });
--- a/src/placement/preemption/candidates.rs
+++ b/src/placement/preemption/candidates.rs
@@ -2,9 +2,9 @@
 
 use crate::ids::{AttemptIx, ImageIx, MachineIx, TypeIx, ZoneIx};
 use crate::pipeline::Job;
-use crate::placement::{FullShapes, Shape};
+use crate::placement::FullShapes;
+use crate::resources::{Resources, Shape};
 use crate::wire::Priority;
-use crate::workers::Resources;
 use std::collections::BTreeMap;
 
 /// A running task that may be stopped for one of higher priority.
--- a/src/placement/preemption/mod.rs
+++ b/src/placement/preemption/mod.rs
@@ -49,9 +49,9 @@
     fn preemption_demands(&self, short_jobs: &[JobIx], candidates: &[Candidate]) -> Vec<Demand> {
         let victims = candidates.iter().flat_map(|candidate| &candidate.victims);
         let lowest = victims.map(|victim| victim.priority).min();
-        let short = short_jobs.iter().filter_map(|&ix| self.jobs.get(ix));
+        let short = short_jobs.iter().filter_map(|&ix| self.jobs.table.get(ix));
         let outranking = short.filter(|job| lowest.is_some_and(|lowest| lowest < job.priority()));
-        let mut teams = self.team_quotas.clone();
+        let mut teams = self.jobs.team_quotas.clone();
         let mut demands = Vec::new();
         for job in outranking {
             let team = &mut teams[job.team.usize()];
@@ -70,23 +70,23 @@
         let wait_ms = crate::millis(self.policy.preempt_wait_s);
         let short = |job: &Job| job.short_since.is_some_and(|since| now >= since + wait_ms);
         // Most rounds nobody is short of room, and the order costs a sort.
-        if !self.jobs.iter().any(|(_, job)| short(job)) {
+        if !self.jobs.table.iter().any(|(_, job)| short(job)) {
             return Vec::new();
         }
         let order = self.placement_order().into_iter();
-        order.filter(|&ix| self.jobs.get(ix).is_some_and(short)).collect()
+        order.filter(|&ix| self.jobs.table.get(ix).is_some_and(short)).collect()
     }
 
     /// Machines on which a task could be stopped, or is being stopped.
     fn preemption_candidates(&self, now: Millis, short_jobs: &[JobIx]) -> Vec<Candidate> {
-        let short = short_jobs.iter().filter_map(|&ix| self.jobs.get(ix));
+        let short = short_jobs.iter().filter_map(|&ix| self.jobs.table.get(ix));
         let highest = short.map(Job::priority).max();
         let mut by_machine: BTreeMap<MachineIx, Candidate> = BTreeMap::new();
-        for (_, job) in self.jobs.iter() {
+        for (_, job) in self.jobs.table.iter() {
             let yields =
                 Some(job.priority()) < highest && job.spec.deadline_s.is_none() && job.has_slack(self.wall_clock);
             for &attempt_ix in job.open.values() {
-                let Some(attempt) = self.attempts.get(attempt_ix) else {
+                let Some(attempt) = self.workers.attempts.get(attempt_ix) else {
                     continue;
                 };
                 let stopping = attempt.stop.is_some();
@@ -127,8 +127,12 @@
         match by_machine.entry(machine_ix) {
             Entry::Occupied(entry) => Some(entry.into_mut()),
             Entry::Vacant(entry) => {
-                let machine = self.machines.get(machine_ix).filter(|machine| machine.usable(now))?;
-                let info = self.type_info[machine.type_ix.usize()].as_ref()?;
+                let machine = self
+                    .workers
+                    .machines
+                    .get(machine_ix)
+                    .filter(|machine| machine.usable(now))?;
+                let info = self.topology.type_info[machine.type_ix.usize()].as_ref()?;
                 Some(entry.insert(Candidate {
                     machine: machine_ix,
                     type_ix: machine.type_ix,
@@ -161,7 +165,7 @@
     }
 
     fn stop_victim(&mut self, now: Millis, attempt_ix: AttemptIx) {
-        let Some(attempt) = self.attempts.get_mut(attempt_ix) else {
+        let Some(attempt) = self.workers.attempts.get_mut(attempt_ix) else {
             return;
         };
         if !attempt.written && !attempt.writing {
@@ -170,15 +174,15 @@
             return;
         }
         let running = attempt.observed_state == Some(TaskState::Running);
-        let spec = self.jobs.get(attempt.job).map(|job| &job.spec);
+        let spec = self.jobs.table.get(attempt.job).map(|job| &job.spec);
         let save_s = spec.filter(|spec| running && spec.checkpoint_s > 0.0);
         attempt.stop = Some(save_s.map_or(0.0, |spec| spec.save_s));
-        self.delivery_due.insert(attempt.machine);
+        self.workers.delivery_due.insert(attempt.machine);
     }
 
     /// Notes whether a job is short of room, and since when.
     pub(super) fn note_short(&mut self, now: Millis, job: JobIx, choice: &Choice) {
-        if let Some(job) = self.jobs.get_mut(job) {
+        if let Some(job) = self.jobs.table.get_mut(job) {
             match choice {
                 Choice::NoRoom => {
                     job.short_since.get_or_insert(now);
--- a/src/placement/preemption/tests.rs
+++ b/src/placement/preemption/tests.rs
@@ -27,28 +27,33 @@
     shard.wall_clock = NOW;
     shard.job_changed(0, "j-2", &backfill("j-2", saves), 2);
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
-    let known = shard.machines.get_mut(machine).expect("there");
+    let known = shard.workers.machines.get_mut(machine).expect("there");
     known.written = true;
     known.heard_at = Some(NOW);
     known.report_due = NOW + 10_000;
-    let job = shard.jobs.find("j-2").expect("known");
+    let job = shard.jobs.table.find("j-2").expect("known");
     for task in 0..2 {
         shard.open_attempt(job, task, machine);
     }
-    let attempts: Vec<AttemptIx> = shard.attempts.iter().map(|(ix, _)| ix).collect();
+    let attempts: Vec<AttemptIx> = shard.workers.attempts.iter().map(|(ix, _)| ix).collect();
     for ix in attempts {
-        let attempt = shard.attempts.get_mut(ix).expect("there");
+        let attempt = shard.workers.attempts.get_mut(ix).expect("there");
         attempt.written = true;
         attempt.observed_state = Some(TaskState::Running);
         attempt.running_since = Some(NOW - 300_000);
     }
-    let urgent = shard.jobs.find("j-1").expect("known");
-    shard.jobs.get_mut(urgent).expect("there").short_since = Some(NOW - 1_000);
+    let urgent = shard.jobs.table.find("j-1").expect("known");
+    shard.jobs.table.get_mut(urgent).expect("there").short_since = Some(NOW - 1_000);
     shard
 }
 
 fn stops(shard: &Shard) -> Vec<f64> {
-    shard.attempts.iter().filter_map(|(_, attempt)| attempt.stop).collect()
+    shard
+        .workers
+        .attempts
+        .iter()
+        .filter_map(|(_, attempt)| attempt.stop)
+        .collect()
 }
 
 /// Guards against urgent work that waits for minutes beside idle work (inc-98dc,
@@ -75,11 +80,11 @@
 fn best_effort_work_goes_first_by_its_age_only_until_one_task_runs() {
     let mut shard = shard_with(1, &[("large", 16.0)], 1, true);
     shard.job_changed(0, "j-2", &backfill("j-2", true), 2);
-    let job = shard.jobs.find("j-2").expect("known");
+    let job = shard.jobs.table.find("j-2").expect("known");
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
-    assert!(shard.jobs.get(job).expect("there").old(NOW));
+    assert!(shard.jobs.table.get(job).expect("there").old(NOW));
     shard.open_attempt(job, 0, machine);
-    let known = shard.jobs.get(job).expect("there");
+    let known = shard.jobs.table.get(job).expect("there");
     assert!(!known.old(NOW));
     assert!(known.has_slack(NOW), "it is never due");
 }
--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -40,8 +40,10 @@
 impl Shard {
     /// A task failed there.
     pub fn note_failure(&mut self, now: Millis, attempt: &Attempt) {
-        let (Some(job), Some(machine)) = (self.jobs.get_mut(attempt.job), self.machines.get_mut(attempt.machine))
-        else {
+        let (Some(job), Some(machine)) = (
+            self.jobs.table.get_mut(attempt.job),
+            self.workers.machines.get_mut(attempt.machine),
+        ) else {
             return;
         };
         if job.fails_everywhere() {
@@ -67,7 +69,7 @@
 
     /// This job's failures were its own.
     pub fn clear_machines_of(&mut self, job: JobIx) {
-        for (_, machine) in self.machines.iter_mut() {
+        for (_, machine) in self.workers.machines.iter_mut() {
             machine.failing.retain(|&failing| failing != job);
         }
     }
--- a/src/workers/attribution/tests.rs
+++ b/src/workers/attribution/tests.rs
@@ -10,8 +10,8 @@
 /// Six machines, and six jobs of one task each.
 fn shard() -> Shard {
     let mut shard = shard_with(1, &[("small", 8.0)], 1, true);
-    let first = shard.jobs.find("j-1").expect("known");
-    let spec = shard.jobs.get(first).expect("there").spec.clone();
+    let first = shard.jobs.table.find("j-1").expect("known");
+    let spec = shard.jobs.table.get(first).expect("there").spec.clone();
     for number in 2..=MACHINES {
         let id = format!("j-{number}");
         let mut spec = spec.clone();
@@ -31,7 +31,14 @@
 
 fn fail(shard: &mut Shard, now: Millis, job: JobIx, machine: MachineIx) {
     shard.open_attempt(job, 0, machine);
-    let attempt = *shard.machines.get(machine).expect("there").open.last().expect("one");
+    let attempt = *shard
+        .workers
+        .machines
+        .get(machine)
+        .expect("there")
+        .open
+        .last()
+        .expect("one");
     shard.close(now, attempt, Outcome::Error);
 }
 
@@ -41,7 +48,7 @@
 fn machines_are_spared_when_many_jobs_fail_everywhere() {
     let mut shard = shard();
     for round in 0..MACHINES {
-        for job in shard.jobs.indices() {
+        for job in shard.jobs.table.indices() {
             let machine = (job.usize() + round) % MACHINES;
             fail(
                 &mut shard,
@@ -50,36 +57,47 @@
                 MachineIx::from_usize(machine),
             );
         }
-        let sick = shard.machines.iter().filter(|(_, machine)| machine.is_sick()).count();
+        let sick = shard
+            .workers
+            .machines
+            .iter()
+            .filter(|(_, machine)| machine.is_sick())
+            .count();
         assert_eq!(sick, 0, "in round {round}");
     }
-    assert!(shard.jobs.iter().all(|(_, job)| job.fails_everywhere()));
-    assert!(shard.machines.iter().all(|(_, machine)| machine.failing.is_empty()));
+    assert!(shard.jobs.table.iter().all(|(_, job)| job.fails_everywhere()));
+    assert!(
+        shard
+            .workers
+            .machines
+            .iter()
+            .all(|(_, machine)| machine.failing.is_empty())
+    );
 }
 
 #[test]
 fn a_machine_on_which_three_jobs_fail_is_sick() {
     let mut shard = shard();
-    let jobs = shard.jobs.indices();
+    let jobs = shard.jobs.table.indices();
     for (count, &job) in jobs.iter().enumerate().take(FAILING_JOBS) {
         assert!(
-            !shard.machines.get(FIRST_MACHINE).expect("there").is_sick(),
+            !shard.workers.machines.get(FIRST_MACHINE).expect("there").is_sick(),
             "after {count}"
         );
         fail(&mut shard, count as Millis * 10_000, job, FIRST_MACHINE);
     }
-    assert!(shard.machines.get(FIRST_MACHINE).expect("there").is_sick());
-    assert!(!shard.jobs.get(jobs[0]).expect("there").fails_everywhere());
+    assert!(shard.workers.machines.get(FIRST_MACHINE).expect("there").is_sick());
+    assert!(!shard.jobs.table.get(jobs[0]).expect("there").fails_everywhere());
 }
 
 /// Tasks that a sick machine fails together are no proof against their job.
 #[test]
 fn failures_at_one_time_on_one_machine_count_once() {
     let mut shard = shard();
-    let job = shard.jobs.find("j-1").expect("known");
+    let job = shard.jobs.table.find("j-1").expect("known");
     for _ in 0..8 {
         fail(&mut shard, 1_000, job, FIRST_MACHINE);
     }
-    assert_eq!(shard.jobs.get(job).expect("there").errors, 1);
-    assert!(shard.machines.get(FIRST_MACHINE).expect("there").cordoned_until > 1_000);
+    assert_eq!(shard.jobs.table.get(job).expect("there").errors, 1);
+    assert!(shard.workers.machines.get(FIRST_MACHINE).expect("there").cordoned_until > 1_000);
 }
--- a/src/workers/drain.rs
+++ b/src/workers/drain.rs
@@ -10,8 +10,8 @@
     /// as late as is safe; those that can't finish in time end now, so that
     /// they start again elsewhere the sooner.
     pub fn drain(&mut self, now: Millis) {
-        for ix in self.machines.indices() {
-            let Some(machine) = self.machines.get(ix) else {
+        for ix in self.workers.machines.indices() {
+            let Some(machine) = self.workers.machines.get(ix) else {
                 continue;
             };
             let Some(spot_reclaim_at) = machine.spot_reclaim_at else {
@@ -20,10 +20,10 @@
             let left_s = spot_reclaim_at.saturating_sub(now) as f64 / 1000.0;
             let mut stopped = false;
             for open in machine.open.clone() {
-                let Some(attempt) = self.attempts.get_mut(open) else {
+                let Some(attempt) = self.workers.attempts.get_mut(open) else {
                     continue;
                 };
-                let Some(job) = self.jobs.get(attempt.job) else {
+                let Some(job) = self.jobs.table.get(attempt.job) else {
                     continue;
                 };
                 if attempt.stop.is_some() || attempt.observed_state.is_none() {
@@ -47,7 +47,7 @@
                 stopped = true;
             }
             if stopped {
-                self.delivery_due.insert(ix);
+                self.workers.delivery_due.insert(ix);
             }
         }
     }
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -42,10 +42,10 @@
         if report.fencing_token > self.term {
             return Merged::Outranked;
         }
-        if self.tombstones.contains_key(&report.machine) {
+        if self.workers.tombstones.contains_key(&report.machine) {
             return Merged::MachineDeleted;
         }
-        let ix = match self.machines.find(&report.machine) {
+        let ix = match self.workers.machines.find(&report.machine) {
             Some(ix) => ix,
             // Not rented by anybody we know of, or rented late: it is used, or
             // returned once idle, like any other.
@@ -55,8 +55,8 @@
         if path == ReportPath::CommandReply {
             self.add_to_inventory(ix);
         }
-        let interval_ms = crate::millis(self.longest_report_interval_s());
-        let Some(machine) = self.machines.get_mut(ix) else {
+        let interval_ms = crate::millis(self.workers.longest_report_interval_s());
+        let Some(machine) = self.workers.machines.get_mut(ix) else {
             return Merged::MachineDeleted;
         };
         if (report.agent_epoch, report.seq) <= (machine.agent_epoch, machine.seq) {
@@ -65,7 +65,7 @@
         let is_new_epoch = report.agent_epoch > machine.agent_epoch;
         if machine.address.as_deref() != Some(report.address.as_str()) {
             machine.address = Some(report.address.clone());
-            self.inventory.late.extend(machine.group);
+            self.fleet.inventory.late.extend(machine.group);
         }
         machine.agent_epoch = report.agent_epoch;
         machine.seq = report.seq;
@@ -73,7 +73,7 @@
         if fresh {
             if machine.heard_at.is_none() {
                 machine.idle_since = now;
-                self.capacity_changed = true;
+                self.workers.capacity_changed = true;
             }
             machine.heard_at = Some(now);
             machine.report_due = now + interval_ms + LATE_MS;
@@ -85,7 +85,7 @@
         if is_new_epoch {
             if path == ReportPath::Heartbeat
                 && machine.heard_at.is_some()
-                && now < machine.answered_at + self.lease_expiry_ms / 2
+                && now < machine.answered_at + self.workers.lease_expiry_ms / 2
             {
                 // Its lease ran out although it was answered: not by us, then.
                 machine.missed_answers += MISSED_ANSWERS_TO_CORDON;
@@ -101,17 +101,17 @@
         for task in &report.tasks {
             let found = split_task(&task.task).and_then(|(job, number)| {
                 open.iter().copied().find(|&attempt| {
-                    self.attempts.get(attempt).is_some_and(|a| {
+                    self.workers.attempts.get(attempt).is_some_and(|a| {
                         a.task == number
                             && a.number == task.attempt
                             && a.agent_epoch == report.agent_epoch
-                            && self.jobs.get(a.job).is_some_and(|j| j.id == job)
+                            && self.jobs.table.get(a.job).is_some_and(|j| j.id == job)
                     })
                 })
             });
             // What has ended stays listed until the worker is told to forget it.
             if (found.is_none() || task.state == TaskState::Exited)
-                && let Some(machine) = self.machines.get_mut(ix)
+                && let Some(machine) = self.workers.machines.get_mut(ix)
             {
                 machine.unmatched_tasks.push(task.clone());
             }
@@ -124,13 +124,14 @@
         for attempt in open {
             if !listed.contains(&attempt) {
                 unseen |= self
+                    .workers
                     .attempts
                     .get(attempt)
                     .is_some_and(|attempt| attempt.start_answered && attempt.agent_epoch == report.agent_epoch);
                 self.observe_missing(now, attempt, report);
             }
         }
-        if let Some(machine) = self.machines.get_mut(ix)
+        if let Some(machine) = self.workers.machines.get_mut(ix)
             && (path == ReportPath::CommandReply || std::mem::take(&mut machine.expects_effect))
         {
             machine.missed_answers = match path {
@@ -140,16 +141,21 @@
         }
         // A start of this term that may still arrive keeps ended tasks listed, and
         // reports may not grow without end.
-        self.needs_higher_term |= self.machines.get(ix).is_some_and(|machine| {
+        self.workers.needs_higher_term |= self.workers.machines.get(ix).is_some_and(|machine| {
             let ended = machine
                 .unmatched_tasks
                 .iter()
                 .filter(|unmatched| unmatched.state == TaskState::Exited);
             machine.unconfirmed_start_term >= self.term && ended.count() >= MANY_ENDED
         });
-        if self.machines.get(ix).is_some_and(|machine| machine.missed_answers > 0) {
+        if self
+            .workers
+            .machines
+            .get(ix)
+            .is_some_and(|machine| machine.missed_answers > 0)
+        {
             // An answer to a direct command clears it at once.
-            self.delivery_due.insert(ix);
+            self.workers.delivery_due.insert(ix);
         }
         Merged::Newest(ix)
     }
@@ -157,13 +163,13 @@
     /// What a report is answered with, and so what the next one must show.
     pub fn answer_commands(&mut self, now: Millis, ix: MachineIx) -> Vec<Command> {
         let commands = self.commands(now, ix);
-        let Some(machine) = self.machines.get_mut(ix) else {
+        let Some(machine) = self.workers.machines.get_mut(ix) else {
             return commands;
         };
         machine.answered_at = now;
         machine.expects_effect = machine.fencing_token < self.term;
         for &open in &machine.open {
-            if let Some(attempt) = self.attempts.get_mut(open) {
+            if let Some(attempt) = self.workers.attempts.get_mut(open) {
                 attempt.start_answered = attempt.written && attempt.observed_state.is_none() && attempt.stop.is_none();
                 machine.expects_effect |= attempt.start_answered;
             }
@@ -171,7 +177,7 @@
         // One that seems not to be reached is asked directly as well: where nothing
         // is expected of it, no report could ever clear it.
         if machine.missed_answers == 0 {
-            self.delivery_due.remove(&ix);
+            self.workers.delivery_due.remove(&ix);
         }
         commands
     }
@@ -187,7 +193,7 @@
             self.close(now, ix, outcome);
             return;
         }
-        if let Some(attempt) = self.attempts.get_mut(ix) {
+        if let Some(attempt) = self.workers.attempts.get_mut(ix) {
             attempt.observed_state = Some(state);
             if state == TaskState::Running && attempt.running_since.is_none() {
                 attempt.running_since = Some(now);
@@ -197,7 +203,7 @@
 
     /// An open attempt that its machine's newest report does not list.
     fn observe_missing(&mut self, now: Millis, ix: AttemptIx, report: &Report) {
-        let Some(attempt) = self.attempts.get_mut(ix) else {
+        let Some(attempt) = self.workers.attempts.get_mut(ix) else {
             return;
         };
         if attempt.agent_epoch < report.agent_epoch {
@@ -213,7 +219,7 @@
         // Not wanted, and not there: over only if no start for it can still
         // arrive, neither in an answer nor sent directly.
         let answer_dead = attempt.start_sent.is_none_or(|sent| now > sent + ANSWER_LIFE_MS);
-        let Some(machine) = self.machines.get(attempt.machine) else {
+        let Some(machine) = self.workers.machines.get(attempt.machine) else {
             return;
         };
         let in_flight = machine.delivery.in_flight && machine.delivery.has_starts;
@@ -224,22 +230,22 @@
         } else if answer_dead && machine.unconfirmed_start_term >= self.term {
             // Starts of earlier terms are withdrawn already, once the worker
             // sees ours; only one of our own term calls for a higher.
-            self.needs_higher_term = true;
+            self.workers.needs_higher_term = true;
         }
     }
 
     /// This attempt never starts. Its record must go before its room is given to
     /// another; an ended job's records start nothing.
     fn withdraw_record(&mut self, now: Millis, ix: AttemptIx) {
-        let Some(attempt) = self.attempts.get_mut(ix) else {
+        let Some(attempt) = self.workers.attempts.get_mut(ix) else {
             return;
         };
-        match self.jobs.get(attempt.job).filter(|job| job.ended.is_none()) {
+        match self.jobs.table.get(attempt.job).filter(|job| job.ended.is_none()) {
             None => self.close(now, ix, Outcome::Lost),
             Some(job) if !attempt.withdrawn => {
                 attempt.withdrawn = true;
-                let number = job.chunk_of(attempt.task, self.chunk_tasks) as u32;
-                self.ledger.starts.insert(ChunkId {
+                let number = job.chunk_of(attempt.task, self.jobs.chunk_tasks) as u32;
+                self.pending_writes.starts.insert(ChunkId {
                     job: attempt.job,
                     number,
                 });
@@ -250,7 +256,7 @@
 
     /// Everything that a machine should be told now, in order.
     pub fn commands(&mut self, now: Millis, ix: MachineIx) -> Vec<Command> {
-        let Some(machine) = self.machines.get(ix) else {
+        let Some(machine) = self.workers.machines.get(ix) else {
             return Vec::new();
         };
         let mut commands = Vec::new();
@@ -269,13 +275,13 @@
             }
         }
         for &open in &machine.open {
-            let Some(attempt) = self.attempts.get_mut(open) else {
+            let Some(attempt) = self.workers.attempts.get_mut(open) else {
                 continue;
             };
             if !attempt.written || attempt.agent_epoch != machine.agent_epoch {
                 continue;
             }
-            let Some(job) = self.jobs.get(attempt.job) else {
+            let Some(job) = self.jobs.table.get(attempt.job) else {
                 continue;
             };
             if let Some(command) = command_for(&job.id, attempt) {
@@ -297,28 +303,33 @@
         let Some((job, number)) = split_task(task) else {
             return true;
         };
-        let Some(job) = self.jobs.find(job).and_then(|ix| self.jobs.get(ix)) else {
+        let Some(job) = self.jobs.table.find(job).and_then(|ix| self.jobs.table.get(ix)) else {
             return true;
         };
         if job.ended.is_some() {
             return true;
         }
-        let chunk = job.chunk_of(number, self.chunk_tasks);
+        let chunk = job.chunk_of(number, self.jobs.chunk_tasks);
         !job.complete() && job.chunks.get(chunk).is_none_or(|chunk| chunk.written())
     }
 
     /// Closes everything on machines whose worker's lease has surely expired.
     pub fn close_expired(&mut self, now: Millis) {
-        for ix in self.machines.indices() {
-            let Some(machine) = self.machines.get(ix) else {
+        for ix in self.workers.machines.indices() {
+            let Some(machine) = self.workers.machines.get(ix) else {
                 continue;
             };
-            if machine.open.is_empty() || now <= machine.answered_at + self.lease_expiry_ms {
+            if machine.open.is_empty() || now <= machine.answered_at + self.workers.lease_expiry_ms {
                 continue;
             }
             let agent_epoch = machine.agent_epoch;
             for attempt in machine.open.clone() {
-                if self.attempts.get(attempt).is_some_and(|a| a.agent_epoch <= agent_epoch) {
+                if self
+                    .workers
+                    .attempts
+                    .get(attempt)
+                    .is_some_and(|a| a.agent_epoch <= agent_epoch)
+                {
                     self.close(now, attempt, Outcome::Lost);
                 }
             }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -9,12 +9,15 @@
 mod attribution;
 mod drain;
 mod merge;
+mod registry;
 
 pub use merge::{Merged, ReportPath};
+pub use registry::Workers;
 
 use crate::Millis;
-use crate::fleet::Offer;
 use crate::ids::{AttemptIx, GroupIx, ImageIx, Index, JobIx, MachineIx, TypeIx, ZoneIx};
+use crate::resources::Resources;
+use crate::topology::Offer;
 use crate::wire::{Command, TaskReport, TaskState};
 
 /// How an attempt was proven over.
@@ -130,54 +133,6 @@
     pub cordoned_until: Millis,
 }
 
-/// What a task takes of its machine, or a machine offers.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Resources {
-    pub cpus: f64,
-    pub gpus: f64,
-    pub memory_gb: f64,
-}
-
-const SLACK: f64 = 1e-6;
-
-impl Resources {
-    pub fn add(&mut self, other: Resources) {
-        self.cpus += other.cpus;
-        self.gpus += other.gpus;
-        self.memory_gb += other.memory_gb;
-    }
-
-    pub fn take(&mut self, other: Resources) {
-        self.cpus = (self.cpus - other.cpus).max(0.0);
-        self.gpus = (self.gpus - other.gpus).max(0.0);
-        self.memory_gb = (self.memory_gb - other.memory_gb).max(0.0);
-    }
-
-    pub fn minus(mut self, other: Resources) -> Resources {
-        self.take(other);
-        self
-    }
-
-    pub fn fits(&self, other: Resources) -> bool {
-        other.cpus <= self.cpus + SLACK && other.gpus <= self.gpus + SLACK && other.memory_gb <= self.memory_gb + SLACK
-    }
-
-    /// How many of `other` fit.
-    pub fn count(&self, other: Resources) -> u32 {
-        let part = |have: f64, need: f64| {
-            if need <= 0.0 {
-                f64::from(u32::MAX)
-            } else {
-                ((have + SLACK) / need).floor()
-            }
-        };
-        let count = part(self.cpus, other.cpus)
-            .min(part(self.gpus, other.gpus))
-            .min(part(self.memory_gb, other.memory_gb));
-        count.clamp(0.0, 100_000.0) as u32
-    }
-}
-
 impl Machine {
     pub fn new(name: &str, type_ix: TypeIx, zone: ZoneIx, spot: bool, now: Millis) -> Machine {
         Machine {
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -83,9 +83,9 @@
         shard.add_machine(0, &machine_name(number), "pantry-rack", "north", true);
         shard.merge_report(0, &report(number, Vec::new()), ReportPath::CommandReply);
     }
-    let machines = shard.machines.indices();
+    let machines = shard.workers.machines.indices();
     for ix in machines {
-        shard.machines.get_mut(ix).expect("there").written = true;
+        shard.workers.machines.get_mut(ix).expect("there").written = true;
     }
 }
 
@@ -123,13 +123,13 @@
     shard.job_changed(0, "j-000001", &job_key(1, tasks), 1);
     let bytes = bytes_each(tasks, || {
         for round in 1..=tasks as u64 {
-            if shard.attempts.iter().count() == tasks {
+            if shard.workers.attempts.iter().count() == tasks {
                 break;
             }
             shard.place(round);
         }
     });
-    assert_eq!(shard.attempts.iter().count(), tasks);
+    assert_eq!(shard.workers.attempts.iter().count(), tasks);
     assert_close(bytes, memory::OPEN_TASK_BYTES);
 }
 
