--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,5 +1,8 @@
+use super::connection_limits::{CONNECTION_BYTES, CONNECTIONS_MEMORY_PART};
+use super::lease_timing::{CLOCK_DRIFT, EXPIRY_MARGIN_S, MAX_WATCH_CACHE_AGE_MS};
 use super::*;
 
+/// Settings of a small site, as the platform hands them over.
 pub const SAMPLE: &str = r#"
 node = "stall-0"
 location = "north"
@@ -57,16 +60,64 @@
     assert!(error.contains("rps"), "{error}");
 }
 
+/// What is replaced in the sample, by what, and how that is refused.
+const REFUSALS: [(&str, &str, &str); 7] = [
+    (
+        r#"node = "stall-0""#,
+        r#"node = """#,
+        "setting `node`: must not be empty",
+    ),
+    (
+        "rps = 200.0",
+        "rps = 0.0",
+        "setting `params.state.rps`: must be a positive number, but is 0",
+    ),
+    (
+        "time_bound_ms = 25.0",
+        "time_bound_ms = -1.0",
+        "setting `params.time_bound_ms`: must not be negative, but is -1",
+    ),
+    (
+        "txn_ops = 48",
+        "txn_ops = 7",
+        "setting `params.state.txn_ops`: must be at least 8, but is 7",
+    ),
+    (
+        r#"zones = ["north", "south"]"#,
+        "zones = []",
+        "setting `params.zones`: must name at least one zone",
+    ),
+    (
+        "gpus_max = 0.0",
+        "gpus_max = -2.0",
+        "setting `params.teams.floor`: amounts must not be negative, but `gpus_max` is -2",
+    ),
+    (
+        r#"node = "stall-1""#,
+        r#"node = "stall-0""#,
+        "setting `seeds`: `stall-0` is named twice",
+    ),
+];
+
+/// Every refusal names the field and says what was expected of it.
+#[test]
+fn each_kind_of_problem_says_what_was_expected() {
+    for (valid, refused, message) in REFUSALS {
+        let error = Settings::parse(&SAMPLE.replace(valid, refused)).expect_err(refused);
+        assert_eq!(error.to_string(), message);
+    }
+}
+
 /// Where leases are nearly as long as `cancel_s`, a leader may act on an older
 /// watch cache for less long; where it can't be short enough, that is said by name.
 #[test]
 fn the_age_of_the_watch_cache_fits_into_the_time_to_cancel() {
     let with = |cancel_s: &str| Settings::parse(&SAMPLE.replace("cancel_s = 65.0", cancel_s)).expect("valid");
     let plenty = with("cancel_s = 65.0");
-    assert_eq!(plenty.max_watch_cache_age_ms(), MOST_WATCH_CACHE_AGE_MS);
+    assert_eq!(plenty.max_watch_cache_age_ms(), MAX_WATCH_CACHE_AGE_MS);
     assert!(plenty.warnings().is_empty());
     let tight = with("cancel_s = 50.0");
-    let sum = tight.max_watch_cache_age_ms() as f64 / 1000.0 + 45.0 * DRIFT + SETTLE_S;
+    let sum = tight.max_watch_cache_age_ms() as f64 / 1000.0 + 45.0 * CLOCK_DRIFT + EXPIRY_MARGIN_S;
     assert!(sum <= 50.0 && tight.warnings().is_empty(), "{sum}");
     let short = with("cancel_s = 46.0");
     assert!(short.warnings()[0].contains("params.workers.cancel_s"));
