--- a/src/lib.rs
+++ b/src/lib.rs
@@ -23,18 +23,24 @@
 pub mod wire;
 pub mod workers;
 
-/// Milliseconds on the monotonic clock of this process.
+/// Milliseconds, on the monotonic clock of this process unless a name says otherwise.
 pub type Millis = u64;
 
-/// The two clocks of a step. Leases and waits use `monotonic`; only times that
-/// must outlive a process (submission times) use `wall_clock`.
+/// The time of a step on both clocks. Leases and waits use the monotonic clock; only
+/// times that must outlive a process (submission times) use the wall clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
+    /// On the monotonic clock of this process.
     pub monotonic: Millis,
+    /// On the wall clock, since the Unix epoch.
     pub wall_clock: Millis,
 }
 
+const MILLIS_PER_SECOND: f64 = 1000.0;
+/// Beyond any time that means something, and exact as a floating-point number.
+const MAX_MILLIS: f64 = 1e15;
+
 /// Converts seconds as the protocols give them; hostile values saturate.
 pub fn millis(seconds: f64) -> Millis {
-    (seconds.max(0.0) * 1000.0).min(1e15) as Millis
+    (seconds.max(0.0) * MILLIS_PER_SECOND).min(MAX_MILLIS) as Millis
 }
