--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use sumacbend::policy::Policy;
-use sumacbend::runtime::{self, Client};
+use sumacbend::runtime::{self, HttpClient, HttpRequest};
 use sumacbend::settings::Settings;
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::filter::Targets;
@@ -161,12 +161,17 @@
         JobCommand::Show { server, id } => (server.server, Method::GET, format!("/v1/jobs/{id}"), Vec::new()),
         JobCommand::Cancel { server, id } => (server.server, Method::POST, format!("/v1/jobs/{id}/abort"), Vec::new()),
     };
-    let client = Client::default();
-    let patience = Duration::from_secs(5);
-    let request = client.request(server, method, &path, body, patience);
-    let (status, body) = runtime()?
-        .block_on(request)
-        .map_err(|failure| format!("no answer from {server} ({failure:?})"))?;
+    let client = HttpClient::default();
+    let request = HttpRequest {
+        method,
+        path,
+        body: body.into(),
+        timeout: Duration::from_secs(5),
+    };
+    let response = runtime()?
+        .block_on(client.send(server, request))
+        .map_err(|error| format!("no answer from {server}: {error}"))?;
+    let (status, body) = (response.status, response.body);
     println!("{}", String::from_utf8_lossy(&body));
     if (200..300).contains(&status) {
         Ok(())
--- a/src/runtime/pace.rs
+++ b/src/runtime/event_loop_monitor.rs
@@ -10,29 +10,30 @@
 use std::time::{Duration, Instant};
 
 /// The loop ticks this often when it keeps up.
-pub const TICK: Duration = Duration::from_millis(50);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// A tick later than this means that it does not.
-const LATE: Duration = Duration::from_millis(100);
+const MAX_TICK_DELAY: Duration = Duration::from_millis(100);
 
-/// When the event loop last ticked.
-pub struct Pace {
+/// Knows when the event loop last ticked.
+pub struct EventLoopMonitor {
     start: Instant,
-    ticked_ms: AtomicU64,
+    /// Since `start`.
+    last_tick_ms: AtomicU64,
 }
 
-impl Pace {
+impl EventLoopMonitor {
     /// Counts the loop as on time for now.
-    pub fn new() -> Pace {
-        Pace {
+    pub fn new() -> EventLoopMonitor {
+        EventLoopMonitor {
             start: Instant::now(),
-            ticked_ms: AtomicU64::new(0),
+            last_tick_ms: AtomicU64::new(0),
         }
     }
 
-    /// The loop ticks.
-    pub fn tick(&self) {
-        self.ticked_ms
-            .store(self.start.elapsed().as_millis() as u64, Ordering::Relaxed);
+    /// Notes that the loop ticks now.
+    pub fn record_tick(&self) {
+        let elapsed_ms = self.start.elapsed().as_millis() as u64;
+        self.last_tick_ms.store(elapsed_ms, Ordering::Relaxed);
     }
 
     /// Whether the next tick is late by now.
@@ -41,8 +42,8 @@
     }
 
     fn is_behind_at(&self, since_start: Duration) -> bool {
-        let ticked = Duration::from_millis(self.ticked_ms.load(Ordering::Relaxed));
-        since_start > ticked + TICK + LATE
+        let last_tick = Duration::from_millis(self.last_tick_ms.load(Ordering::Relaxed));
+        since_start > last_tick + TICK_INTERVAL + MAX_TICK_DELAY
     }
 }
 
--- a/src/runtime/client/tests.rs
+++ b/src/runtime/http_client/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use hyper::Method;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
@@ -11,8 +12,8 @@
             tokio::spawn(async move {
                 let mut request = [0; 1_024];
                 while stream.read(&mut request).await.is_ok_and(|length| length > 0) {
-                    let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-                    stream.write_all(answer).await.expect("sent");
+                    let response = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
+                    stream.write_all(response).await.expect("sent");
                 }
             });
         }
@@ -24,13 +25,18 @@
 /// many workers as there may be.
 #[tokio::test(flavor = "current_thread")]
 async fn no_more_connections_are_kept_than_allowed() {
-    let client = Client::new(2);
+    let client = HttpClient::new(2);
     for _ in 0..4 {
         let address = serve_empty_answers().await;
         for _ in 0..2 {
-            let patience = Duration::from_secs(20);
-            let answer = client.request(address, Method::GET, "/", Vec::new(), patience).await;
-            assert_eq!(answer.map(|(status, _)| status), Ok(200));
+            let request = HttpRequest {
+                method: Method::GET,
+                path: "/".into(),
+                body: Bytes::new(),
+                timeout: Duration::from_secs(20),
+            };
+            let response = client.send(address, request).await;
+            assert_eq!(response.map(|response| response.status), Ok(200));
         }
         let idle = client.idle.lock().expect("not poisoned");
         let kept: usize = idle.by_address.values().map(Vec::len).sum();
--- a/src/runtime/http_server/tests.rs
+++ b/src/runtime/http_server/tests.rs
@@ -1,21 +1,29 @@
 use super::*;
 use crate::admission::text;
-use crate::runtime::Event;
+use crate::runtime::event::Event;
+use crate::runtime::event_loop_monitor::TICK_INTERVAL;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A server with so many connections that answers health checks. While `ticks`, its
-/// event loop keeps up.
-async fn serve_health(most: u32, ticks: bool) -> (SocketAddr, Arc<Pace>) {
+/// Whether the event loop of a test's server keeps up.
+#[derive(PartialEq)]
+enum Loop {
+    KeepsUp,
+    StandsStill,
+}
+
+/// A server with so many connections that answers health checks.
+async fn serve_health(max_connections: u32, event_loop: Loop) -> (SocketAddr, Arc<EventLoopMonitor>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let (urgent, mut events) = mpsc::channel(16);
     let (users, mut asked) = mpsc::channel(16);
-    let pace = Arc::new(Pace::new());
-    tokio::spawn(serve(listener, Front::new(urgent, users, most, 64), pace.clone()));
+    let monitor = Arc::new(EventLoopMonitor::new());
+    let endpoint = HttpEndpoint::new(urgent, users, max_connections, 64);
+    tokio::spawn(serve(listener, endpoint, monitor.clone()));
     tokio::spawn(async move {
         while let Some(event) = events.recv().await {
             if let Event::Health { reply } = event {
@@ -30,17 +38,17 @@
             waiting.push(event);
         }
     });
-    if ticks {
-        tokio::spawn(keep_up(pace.clone()));
+    if event_loop == Loop::KeepsUp {
+        tokio::spawn(keep_up(monitor.clone()));
     }
-    (address, pace)
+    (address, monitor)
 }
 
 /// Ticks as an event loop does.
-async fn keep_up(pace: Arc<Pace>) {
+async fn keep_up(monitor: Arc<EventLoopMonitor>) {
     loop {
-        pace.tick();
-        sleep(crate::runtime::pace::TICK).await;
+        monitor.record_tick();
+        sleep(TICK_INTERVAL).await;
     }
 }
 
@@ -62,7 +70,7 @@
 /// no room until their leases had expired.
 #[tokio::test(flavor = "current_thread")]
 async fn more_clients_than_connections_all_get_their_answer() {
-    let (address, _) = serve_health(3, true).await;
+    let (address, _) = serve_health(3, Loop::KeepsUp).await;
     // None of them closes its connection.
     let mut kept = Vec::new();
     for _ in 0..8 {
@@ -76,14 +84,14 @@
 /// thousands of workers connect at once.
 #[tokio::test(flavor = "current_thread")]
 async fn no_connection_is_accepted_while_the_event_loop_is_behind() {
-    let (address, pace) = serve_health(8, false).await;
+    let (address, monitor) = serve_health(8, Loop::StandsStill).await;
     sleep(Duration::from_millis(300)).await;
-    assert!(pace.is_behind());
+    assert!(monitor.is_behind());
     // The accept that was under way when it fell behind, and one that has to wait.
     let _first = ask(address).await;
     let mut second = ask(address).await;
     assert!(!is_answered(&mut second, Duration::from_millis(400)).await);
-    tokio::spawn(keep_up(pace));
+    tokio::spawn(keep_up(monitor));
     assert!(is_answered(&mut second, PATIENCE).await);
 }
 
@@ -91,12 +99,12 @@
 /// a socket each for good.
 #[tokio::test(start_paused = true)]
 async fn a_connection_without_requests_is_closed() {
-    let (address, _) = serve_health(8, true).await;
+    let (address, _) = serve_health(8, Loop::KeepsUp).await;
     let mut client = ask(address).await;
     assert!(is_answered(&mut client, PATIENCE).await);
     let mut rest = Vec::new();
-    let closed = timeout(2 * IDLE, client.read_to_end(&mut rest)).await;
-    assert!(closed.is_ok(), "still open after {:?}", 2 * IDLE);
+    let closed = timeout(2 * IDLE_TIMEOUT, client.read_to_end(&mut rest)).await;
+    assert!(closed.is_ok(), "still open after {:?}", 2 * IDLE_TIMEOUT);
 }
 
 async fn submit(address: SocketAddr, body: &str, length: usize) -> TcpStream {
@@ -117,7 +125,7 @@
 /// are refused at once, and one that is too long is not even read.
 #[tokio::test(flavor = "current_thread")]
 async fn submissions_beyond_their_memory_are_refused_at_once() {
-    let (address, _) = serve_health(8, true).await;
+    let (address, _) = serve_health(8, Loop::KeepsUp).await;
     let mut unread = submit(address, "{", 10_000_000).await;
     assert_eq!(status(&mut unread).await, "400");
     let large = " ".repeat(60 * 1_024);
--- /dev/null
+++ b/src/runtime/peer_links/frame.rs
@@ -0,0 +1,38 @@
+//! Frames: the length of a message in four bytes, the highest first, and the message
+//! in MessagePack.
+
+use super::LinkError;
+use crate::peers::Message;
+use tokio::io::{AsyncRead, AsyncReadExt};
+
+const LENGTH_BYTES: usize = 4;
+const MAX_MESSAGE_BYTES: u32 = 2 << 20;
+
+/// Appends the frame of a message.
+pub(super) fn append(bytes: &mut Vec<u8>, message: &Message) -> Result<(), LinkError> {
+    let start = bytes.len();
+    bytes.extend([0; LENGTH_BYTES]);
+    rmp_serde::encode::write(bytes, message)?;
+    let length = (bytes.len() - start - LENGTH_BYTES) as u32;
+    bytes[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+    Ok(())
+}
+
+/// Reads the length of the next message.
+pub(super) async fn read_length(frames: &mut (impl AsyncRead + Unpin)) -> Result<u32, LinkError> {
+    let length_bytes = frames.read_u32().await?;
+    if length_bytes > MAX_MESSAGE_BYTES {
+        return Err(LinkError::FrameTooLong { length_bytes });
+    }
+    Ok(length_bytes)
+}
+
+/// Reads a message of this length.
+pub(super) async fn read_message(
+    frames: &mut (impl AsyncRead + Unpin),
+    length_bytes: u32,
+) -> Result<Message, LinkError> {
+    let mut body = vec![0; length_bytes as usize];
+    frames.read_exact(&mut body).await?;
+    Ok(rmp_serde::from_slice(&body)?)
+}
--- a/src/runtime/links/tests.rs
+++ b/src/runtime/peer_links/tests.rs
@@ -1,4 +1,12 @@
+use super::receiver::receive_all;
 use super::*;
+use crate::controller::Input;
+use crate::peers::Message;
+use crate::runtime::event::Event;
+use std::net::SocketAddr;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+use tokio::time::{sleep, timeout};
 
 const WAIT: Duration = Duration::from_secs(60);
 
@@ -59,3 +67,12 @@
         "one link is enough"
     );
 }
+
+/// Controllers of two versions talk to each other while they are replaced: the bytes of
+/// a frame stay as they are.
+#[test]
+fn a_frame_is_a_length_and_a_messagepack_message() {
+    let mut bytes = Vec::new();
+    frame::append(&mut bytes, &heartbeat("n1")).expect("encoded");
+    assert_eq!(bytes, b"\x00\x00\x00\x16\x81\xa9Heartbeat\x94\xa2n1\xa4pool\xc0\xc3");
+}
--- /dev/null
+++ b/src/runtime/service_calls/cloud.rs
@@ -0,0 +1,66 @@
+//! Requests to the cloud, and what its responses mean.
+
+use super::{CallResult, json};
+use crate::controller::{CloudReply, CloudRequest};
+use crate::runtime::http_client::{HttpRequest, HttpResponse, RequestError};
+use bytes::Bytes;
+use hyper::Method;
+use std::time::Duration;
+
+const TIMEOUT: Duration = Duration::from_secs(6);
+/// Most machines in one page of a list.
+const PAGE_LIMIT: u32 = 500;
+/// What the cloud says when it has no machine of the kind asked for.
+const NO_CAPACITY: &str = "no capacity";
+
+/// The HTTP request that carries a request.
+pub fn http_request(request: &CloudRequest) -> HttpRequest {
+    let (method, path, body) = match request {
+        CloudRequest::Catalogue => (Method::GET, "/catalog".into(), Bytes::new()),
+        CloudRequest::RequestMachines(machine_request) => {
+            (Method::POST, "/machines".into(), json::encode(machine_request))
+        }
+        CloudRequest::Delete(names) => (Method::POST, "/machines/delete".into(), json::encode(names)),
+        CloudRequest::List { after } => {
+            let path = format!("/machines?since={after}&limit={PAGE_LIMIT}");
+            (Method::GET, path, Bytes::new())
+        }
+    };
+    HttpRequest {
+        method,
+        path,
+        body,
+        timeout: TIMEOUT,
+    }
+}
+
+/// What came of a request.
+pub fn reply(request: &CloudRequest, result: CallResult) -> CloudReply {
+    match result {
+        // Whatever else it says, it may have done it.
+        Ok(response) => expected_reply(request, &response).unwrap_or(CloudReply::Unanswered),
+        Err(RequestError::NotSent) => CloudReply::Unavailable,
+        Err(RequestError::OutcomeUnknown) => CloudReply::Unanswered,
+    }
+}
+
+/// The reply that the response gives to this kind of request, if it gives one.
+fn expected_reply(request: &CloudRequest, response: &HttpResponse) -> Option<CloudReply> {
+    let body = &response.body;
+    match (request, response.status) {
+        (CloudRequest::Catalogue, 200) => json::decode(body).map(CloudReply::Catalogue),
+        (CloudRequest::RequestMachines(_), 200) => json::decode(body).map(CloudReply::Provisioned),
+        (CloudRequest::RequestMachines(_), 503) if has_no_capacity(body) => Some(CloudReply::NoCapacity),
+        (CloudRequest::RequestMachines(_), 400) => Some(CloudReply::Malformed),
+        (CloudRequest::Delete(_), 200) => Some(CloudReply::Deleted),
+        (CloudRequest::List { .. }, 200) => json::decode(body).map(CloudReply::Listed),
+        (_, 429 | 503) => Some(CloudReply::Unavailable),
+        _ => None,
+    }
+}
+
+/// The cloud says 503 both when it has no such machine and during an outage.
+fn has_no_capacity(body: &Bytes) -> bool {
+    let value: Option<serde_json::Value> = serde_json::from_slice(body).ok();
+    value.is_some_and(|value| value.get("error").and_then(|error| error.as_str()) == Some(NO_CAPACITY))
+}
--- /dev/null
+++ b/src/runtime/service_calls/store.rs
@@ -0,0 +1,108 @@
+//! Requests to the state service, and what its responses mean.
+
+use super::{CallResult, json};
+use crate::runtime::http_client::{HttpRequest, HttpResponse, RequestError};
+use crate::store::{StoreReply, StoreRequest};
+use crate::wire::{Entry, LeaseAnswer, LeaseRequest, Revision};
+use bytes::Bytes;
+use hyper::Method;
+use std::time::Duration;
+
+/// How long to wait beyond the time for which the service holds a request back.
+const TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Most entries in one page of a list.
+const PAGE_LIMIT: u32 = 400;
+
+/// The HTTP request that carries a request.
+pub fn http_request(request: &StoreRequest) -> HttpRequest {
+    let (method, path, body) = match request {
+        StoreRequest::Get(key) => (Method::GET, format!("/store/{key}"), Bytes::new()),
+        StoreRequest::List { prefix, after } => (Method::GET, list_path(prefix, after), Bytes::new()),
+        StoreRequest::Transact(transaction) => (Method::POST, "/multi".into(), json::encode(transaction)),
+        StoreRequest::Grant { ttl_ms } => {
+            let body = json::encode(&LeaseRequest { ttl_ms: *ttl_ms });
+            (Method::POST, "/leases".into(), body)
+        }
+        StoreRequest::Renew(lease) => (Method::POST, format!("/leases/{lease}/extend"), Bytes::new()),
+        StoreRequest::Watch { prefix, since, wait_ms } => {
+            let path = format!("/changes?starts={prefix}&since={since}&holdMs={wait_ms}");
+            (Method::GET, path, Bytes::new())
+        }
+    };
+    HttpRequest {
+        method,
+        path,
+        body,
+        timeout: timeout(request),
+    }
+}
+
+fn list_path(prefix: &str, after: &str) -> String {
+    let since = if after.is_empty() {
+        String::new()
+    } else {
+        format!("&since={after}")
+    };
+    format!("/store?starts={prefix}{since}&limit={PAGE_LIMIT}")
+}
+
+fn timeout(request: &StoreRequest) -> Duration {
+    match request {
+        StoreRequest::Watch { wait_ms, .. } => TIMEOUT + Duration::from_millis(*wait_ms),
+        _ => TIMEOUT,
+    }
+}
+
+/// What came of a request.
+pub fn reply(request: &StoreRequest, result: CallResult) -> StoreReply {
+    let response = match result {
+        Ok(response) => response,
+        Err(RequestError::NotSent) => return StoreReply::Unavailable,
+        Err(RequestError::OutcomeUnknown) => return StoreReply::Unanswered,
+    };
+    let reply = match response.status {
+        429 => Some(StoreReply::Throttled),
+        503 => Some(StoreReply::Unavailable),
+        _ => expected_reply(request, &response),
+    };
+    // Whatever else it says, it may have done it.
+    reply.unwrap_or_else(|| {
+        tracing::warn!(
+            status = response.status,
+            body = %String::from_utf8_lossy(&response.body),
+            "got an unexpected response from the state service"
+        );
+        StoreReply::Unanswered
+    })
+}
+
+/// The reply that the response gives to this kind of request, if it gives one.
+fn expected_reply(request: &StoreRequest, response: &HttpResponse) -> Option<StoreReply> {
+    let body = &response.body;
+    match (request, response.status) {
+        (StoreRequest::Get(_), 200) => json::decode::<Entry>(body).map(|entry| StoreReply::Found {
+            value: entry.value,
+            version: entry.version,
+        }),
+        (StoreRequest::Get(_), 404) => Some(StoreReply::Missing),
+        (StoreRequest::List { .. }, 200) => json::decode(body).map(StoreReply::Page),
+        (StoreRequest::Transact(_), 200) => json::decode::<Revision>(body).map(|answer| StoreReply::Committed {
+            revision: answer.revision,
+        }),
+        (StoreRequest::Transact(_), 409) => {
+            json::decode::<Revision>(body).map(|answer| StoreReply::Conflict { failed: answer.failed })
+        }
+        (StoreRequest::Transact(_), 400) => {
+            tracing::warn!(body = %String::from_utf8_lossy(body), "the state service refused a transaction");
+            Some(StoreReply::LeaseGone)
+        }
+        (StoreRequest::Grant { .. }, 200) => {
+            json::decode::<LeaseAnswer>(body).map(|answer| StoreReply::Granted { lease: answer.lease })
+        }
+        (StoreRequest::Renew(_), 200) => Some(StoreReply::Renewed),
+        (StoreRequest::Renew(_), 404) => Some(StoreReply::LeaseGone),
+        (StoreRequest::Watch { .. }, 200) => json::decode(body).map(StoreReply::Log),
+        (StoreRequest::Watch { .. }, 410) => Some(StoreReply::TooOld),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/src/runtime/service_calls/tests.rs
@@ -0,0 +1,77 @@
+use super::*;
+use crate::controller::{CloudReply, WorkerReply};
+use crate::store::StoreReply;
+
+fn response(status: u16, body: &'static str) -> CallResult {
+    Ok(HttpResponse {
+        status,
+        body: body.into(),
+    })
+}
+
+/// Guards against a request that may have been executed being taken for one that was
+/// not: the controller sends only the latter again.
+#[test]
+fn what_may_have_been_executed_is_told_from_what_was_not() {
+    let renewal = StoreRequest::Renew(7);
+    let cases = [
+        (response(200, ""), StoreReply::Renewed),
+        (response(404, ""), StoreReply::LeaseGone),
+        (response(429, ""), StoreReply::Throttled),
+        (response(503, ""), StoreReply::Unavailable),
+        (response(500, ""), StoreReply::Unanswered),
+        (Err(RequestError::NotSent), StoreReply::Unavailable),
+        (Err(RequestError::OutcomeUnknown), StoreReply::Unanswered),
+    ];
+    for (result, expected) in cases {
+        let told = format!("{result:?}");
+        assert_eq!(store::reply(&renewal, result), expected, "{told}");
+    }
+    let unreadable = store::reply(&StoreRequest::Get("key".into()), response(200, "{"));
+    assert_eq!(unreadable, StoreReply::Unanswered);
+}
+
+#[test]
+fn replies_of_the_cloud_and_of_workers_are_told_apart_in_the_same_way() {
+    let list = CloudRequest::List { after: String::new() };
+    let cases = [
+        (response(429, ""), CloudReply::Unavailable),
+        (response(503, r#"{"error": "no capacity"}"#), CloudReply::Unavailable),
+        (response(500, ""), CloudReply::Unanswered),
+        (Err(RequestError::NotSent), CloudReply::Unavailable),
+        (Err(RequestError::OutcomeUnknown), CloudReply::Unanswered),
+    ];
+    for (result, expected) in cases {
+        let told = format!("{result:?}");
+        assert_eq!(cloud::reply(&list, result), expected, "{told}");
+    }
+    assert!(matches!(worker::reply(response(400, "")), WorkerReply::NotDelivered));
+    assert!(matches!(worker::reply(response(409, "?")), WorkerReply::NotDelivered));
+    assert!(matches!(worker::reply(response(200, "?")), WorkerReply::Unanswered));
+    assert!(matches!(worker::reply(response(500, "")), WorkerReply::Unanswered));
+}
+
+/// A page begins after the last key of the one before, and a watch is waited for as
+/// long as the service may hold it back, and then as long as for any other request.
+#[test]
+fn requests_to_the_state_service_carry_their_parameters() {
+    let first = StoreRequest::List {
+        prefix: "live/pool/".into(),
+        after: String::new(),
+    };
+    assert_eq!(store::http_request(&first).path, "/store?starts=live/pool/&limit=400");
+    let second = StoreRequest::List {
+        prefix: "live/pool/".into(),
+        after: "live/pool/job/3".into(),
+    };
+    let path = "/store?starts=live/pool/&since=live/pool/job/3&limit=400";
+    assert_eq!(store::http_request(&second).path, path);
+    let watch = StoreRequest::Watch {
+        prefix: "live/pool/".into(),
+        since: 12,
+        wait_ms: 700,
+    };
+    let watch = store::http_request(&watch);
+    assert_eq!(watch.path, "/changes?starts=live/pool/&since=12&holdMs=700");
+    assert_eq!(watch.timeout.as_millis(), 2_700);
+}
