--- /dev/null
+++ b/tests/rules/fleet_at_size.rs
@@ -0,0 +1,122 @@
+//! Fleets of hundreds to thousands of machines: requests per second stay within the limits
+//! of the state service, and outages cost no machines.
+
+use crate::LEADER;
+use crate::world::{Told, Trouble, World};
+
+/// Jobs of large tasks for both teams, one after the other.
+fn submit_large(world: &mut World, jobs: u64, tasks: u32, every_ms: u64) {
+    for index in 0..jobs {
+        let mut spec = World::plain_spec();
+        spec.team = if index % 2 == 0 { "red" } else { "blue" }.into();
+        spec.tasks = tasks;
+        spec.cpus = 8.0;
+        world.submit(2_000 + index * every_ms, spec);
+    }
+}
+
+/// At size, work is bounded by what there is to do: the leader answers few
+/// reports itself, machines are written many at a time, and messages between
+/// controllers grow with time, not with reports.
+#[test]
+fn two_thousand_machines_cost_no_more_than_there_is_to_do() {
+    let mut world = World::at_size(8, 5, Vec::new());
+    submit_large(&mut world, 20, 300, 100);
+    world.run(60_000);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    let (machines, seconds) = (world.machines(), 60);
+    assert!(machines > 1_800, "{machines} machines");
+    let sent = &world.sent;
+    // The service's limits, all controllers together.
+    assert!(sent.store_writes < 80 * seconds, "{sent:?}");
+    assert!(sent.store_requests < 200 * seconds, "{sent:?}");
+    // Two thousand machines are written well below one key each.
+    assert!(world.stored("kept/pool/roster/") * 16 < machines);
+    assert!(sent.report_answers > 5 * machines, "{sent:?}");
+    assert!(sent.leader_answers * 5 < sent.report_answers, "{sent:?}");
+    // Twenty ticks a second, each peer with the leader, both ways, and heartbeats.
+    assert!(sent.messages < 4 * 20 * 5 * seconds, "{sent:?}");
+    // A start each, a question each, and little beside.
+    let starts = world.starts as usize;
+    assert!(
+        sent.direct_commands < 3 * (machines + starts),
+        "{sent:?}, {starts} starts"
+    );
+    world.run(150_000);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.jobs.iter().all(|job| job.told == Told::Done));
+}
+
+/// A fleet of one to two thousand machines: the state service is out, all
+/// controllers end in the meantime and once more while they take over, a zone is
+/// cut off, and the leader stands still.
+#[test]
+fn a_large_fleet_lives_through_restarts_a_zone_cut_and_a_freeze() {
+    let crash = |at| (0..5).map(move |node| (at, Trouble::Crash { node }));
+    let mut troubles = vec![
+        (40_000, Trouble::StoreOutage { ms: 12_000 }),
+        (60_000, Trouble::ZoneCut { ms: 50_000 }),
+        (
+            130_000,
+            Trouble::Freeze {
+                node: LEADER,
+                ms: 30_000,
+            },
+        ),
+    ];
+    troubles.extend(crash(48_000).chain(crash(54_500)));
+    let mut world = World::at_size(11, 5, troubles);
+    submit_large(&mut world, 26, 300, 3_000);
+    world.run(35_000);
+    let machines = world.machines();
+    assert!(machines > 1_000, "{machines} machines");
+    world.run(330_000);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    let open = world.jobs.iter().filter(|job| job.told != Told::Done).count();
+    assert_eq!(open, 0);
+    // The service's limits hold in every phase, all controllers together.
+    assert!(world.sent.store_writes < 80 * 330, "{:?}", world.sent);
+    assert!(world.sent.store_requests < 200 * 330, "{:?}", world.sent);
+}
+
+/// More machines than the operators run. All of them report at once when an outage of
+/// the state service ends, in which the leader ended as well, and once more when the
+/// next one ends.
+#[test]
+fn more_than_four_thousand_machines_report_at_once_after_an_outage_and_a_crash() {
+    let troubles = vec![
+        (60_000, Trouble::StoreOutage { ms: 15_000 }),
+        (66_000, Trouble::Crash { node: LEADER }),
+        (100_000, Trouble::Crash { node: LEADER }),
+    ];
+    let mut world = World::of_size(14, 5, 2_200, troubles);
+    world.run_times = 20;
+    submit_large(&mut world, 18, 320, 200);
+    world.run(59_000);
+    let machines = world.machines();
+    assert!(machines > 4_200, "{machines} machines");
+    world.run(400_000);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    let open = world.jobs.iter().filter(|job| job.told != Told::Done).count();
+    assert_eq!(open, 0);
+    assert_eq!(world.lost_tasks, 0, "no lease ran out");
+    // The service's limits, all controllers together.
+    assert!(world.sent.store_writes < 80 * 400, "{:?}", world.sent);
+    assert!(world.sent.store_requests < 200 * 400, "{:?}", world.sent);
+}
+
+/// Guards against deleting the whole fleet when an outage of the state service
+/// ends that was longer than the workers' leases: no controller could hear them.
+#[test]
+fn an_outage_longer_than_the_leases_costs_no_machines() {
+    let mut world = World::at_size(12, 3, vec![(40_000, Trouble::StoreOutage { ms: 60_000 })]);
+    submit_large(&mut world, 8, 3_000, 100);
+    world.run(39_000);
+    let before = world.machine_names();
+    assert!(before.len() > 300, "{} machines", before.len());
+    world.run(115_000);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    let after = world.machine_names();
+    let lost = before.difference(&after).count();
+    assert!(lost * 20 < before.len(), "{lost} of {} lost", before.len());
+}
--- a/tests/rules/guests.rs
+++ b/tests/rules/guests.rs
@@ -1,8 +1,11 @@
 //! What the operators' on-call staff met: backfill of a guest team beside urgent
 //! work, jobs submitted with a mistake, and machines that boot late or never.
 
-use super::*;
-use sumacbend::wire::JobSpec;
+use crate::world::{Told, Trouble, World};
+use crate::{LEADER, draw, play};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use sumacbend::wire::{JobSpec, Priority};
 
 /// Low-priority work without an aim whose tasks save.
 fn backfill(tasks: u32) -> JobSpec {
--- /dev/null
+++ b/tests/rules/meetings/mod.rs
@@ -0,0 +1,49 @@
+//! Concurrent faults ("meetings"): several faults that overlap, each combination that the
+//! operators name, run against the simulated cluster. A few seeds run by default;
+//! `MEETING_SEEDS=0..400 cargo test --release --test rules meetings` runs more.
+
+mod cancellations;
+mod drawn_faults;
+mod leader_changes;
+mod state_service_outages;
+mod unreachable_machines;
+
+use crate::play;
+use crate::world::{Trouble, World};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+type Troubles = Vec<(u64, Trouble)>;
+
+/// Plays a meeting with seeds of its own, with 3 to 7 controllers, and tasks up
+/// to `run_times` times as long as usual.
+fn meet(run_times: u64, troubles: impl Fn(&mut StdRng) -> Troubles) -> Vec<World> {
+    meet_again(&[], run_times, troubles)
+}
+
+/// Also with the seeds that once found a fault.
+fn meet_again(found: &[u64], run_times: u64, troubles: impl Fn(&mut StdRng) -> Troubles) -> Vec<World> {
+    let played = seeds(found).into_iter().map(|seed| {
+        let mut rng = StdRng::seed_from_u64(7_000 + seed);
+        let troubles = troubles(&mut rng);
+        let nodes = [3, 5, 7][seed as usize % 3];
+        let mut world = World::new(seed, nodes, 24, troubles.clone());
+        world.run_times = if seed % 2 == 0 { run_times } else { 1 };
+        play(world, seed, &troubles)
+    });
+    played.collect()
+}
+
+/// `MEETING_SEEDS=FROM..TO`, or a few and those given.
+fn seeds(found: &[u64]) -> Vec<u64> {
+    let given = std::env::var("MEETING_SEEDS").unwrap_or_default();
+    let bounds = given.split_once("..").map(|(from, to)| (from.parse(), to.parse()));
+    match bounds {
+        Some((Ok(from), Ok(to))) => (from..to).collect(),
+        _ => (0..6).chain(found.iter().copied()).collect(),
+    }
+}
+
+fn pick(rng: &mut StdRng, of: &[u64]) -> u64 {
+    of[rng.random_range(0..of.len())]
+}
--- /dev/null
+++ b/tests/rules/scheduling.rs
@@ -0,0 +1,64 @@
+//! The largest job that the protocol allows, and fairness among jobs of one team.
+
+use crate::LEADER;
+use crate::world::{Told, Trouble, World};
+use sumacbend::wire::Priority;
+
+/// The stand-in fails on values and transactions beyond the protocol's limits,
+/// so this shows that the largest job stays within them.
+#[test]
+fn the_largest_job_is_scheduled_and_cleaned_up() {
+    let mut world = World::new(6, 3, 1, vec![(120_000, Trouble::Crash { node: LEADER })]);
+    world.reshape(0, 100_000, Some(190_000));
+    world.run(190_000);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(
+        world.done_tasks.len() > 100,
+        "only {} tasks done",
+        world.done_tasks.len()
+    );
+    assert!(world.stored("kept/pool/firing/") > 0);
+    world.run(300_000);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert_eq!(world.jobs[0].told, Told::Cancelled);
+    assert_eq!(world.stored("kept/pool/firing/") + world.stored("live/pool/job/"), 0);
+    assert_eq!(world.stored("kept/pool/end/"), 1);
+}
+
+/// Guards against work that the order by priority would put off for ever, and
+/// against small tasks that for ever fill up what a large one needs whole.
+#[test]
+fn nobody_starves_under_a_steady_flow_of_small_urgent_jobs() {
+    let mut world = World::new(7, 3, 0, Vec::new());
+    let spec = |team: &str, priority, tasks, cpus| {
+        let mut spec = World::plain_spec();
+        spec.team = team.into();
+        spec.priority = priority;
+        spec.tasks = tasks;
+        spec.cpus = cpus;
+        spec
+    };
+    // More urgent work than the limit of the team lets run, all the time.
+    for at in (2_000..500_000).step_by(1_500) {
+        world.submit(at, spec("red", Priority::High, 6, 1.0));
+    }
+    let large: Vec<usize> = (0..4)
+        .map(|index| world.submit(10_000 + index * 30_000, spec("red", Priority::Low, 12, 8.0)))
+        .collect();
+    world.run(520_000);
+    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    for index in large.iter().copied() {
+        let job = &world.jobs[index];
+        let begun = job.first_start.map(|at| at - job.submit_at);
+        assert!(
+            begun.is_some_and(|after| after < 240_000),
+            "job {index} began after {begun:?} ms"
+        );
+    }
+    let done = large
+        .iter()
+        .filter(|&&index| world.jobs[index].told == Told::Done)
+        .count();
+    assert!(done * 2 >= large.len(), "{done} of the large jobs done");
+    assert!(world.jobs.iter().filter(|job| job.told == Told::Done).count() > 100);
+}
--- a/tests/rules/world/machines.rs
+++ b/tests/rules/world/machines.rs
@@ -49,7 +49,7 @@
         let Some((out, sent)) = worker.report_out else {
             return;
         };
-        if out != id || now < worker.cut_until.max(worker.deaf_until).max(worker.hung_until) {
+        if out != id || now < worker.unreachable_until() {
             return;
         }
         worker.report_out = None;
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -4,17 +4,28 @@
 
 mod checks;
 mod cloud;
+mod delivery;
+mod direct_commands;
+mod fault_kinds;
 mod faults;
+mod happening;
+mod heartbeat_reports;
 mod machines;
 mod network;
+mod setup;
+mod state_service;
 mod store;
 mod stored;
+mod user_answers;
 mod users;
 mod worker;
 
-pub use faults::Trouble;
+pub use fault_kinds::Trouble;
 pub use users::{Told, UserJob};
 
+use happening::{Caller, Happening, Waiting};
+use state_service::OpenWatch;
+
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -38,109 +49,6 @@
 const LARGEST_MS: u64 = 240_000;
 const TEAM_CPUS: f64 = 24.0;
 
-const SETTINGS: &str = r#"
-node = "NODE"
-location = "north"
-serve_on = "127.0.0.1:1"
-peer_listen = "127.0.0.1:2"
-PEERS
-[external]
-cloud = "127.0.0.1:3"
-state = "127.0.0.1:4"
-[params]
-zones = ["north", "south"]
-time_bound_ms = 25.0
-[[params.teams]]
-name = "red"
-cpus = 8.0
-cpus_max = 24.0
-gpus = 0.0
-gpus_max = 0.0
-[[params.teams]]
-name = "blue"
-cpus = 8.0
-cpus_max = 24.0
-gpus = 0.0
-gpus_max = 0.0
-[params.workers]
-report_s = 3.0
-lease_s = 20.0
-cancel_s = 40.0
-[params.state]
-rps = 200.0
-write_rps = 80.0
-value_kb = 16.0
-txn_ops = 48
-[params.cloud]
-rps = 5.0
-list_lag_s = 6.0
-[params.quota]
-cores = 0.1
-memory_mb = 136.0
-max_connections = 2000
-"#;
-
-enum Happening {
-    Tick(usize),
-    Input {
-        node: usize,
-        incarnation: u64,
-        input: Input,
-    },
-    Store {
-        node: usize,
-        incarnation: u64,
-        call: u64,
-        request: StoreRequest,
-        reply: bool,
-    },
-    Cloud {
-        node: usize,
-        incarnation: u64,
-        call: u64,
-        request: CloudRequest,
-        reply: bool,
-    },
-    Direct {
-        node: usize,
-        incarnation: u64,
-        call: u64,
-        machine: String,
-        commands: DirectCommands,
-        reply: bool,
-    },
-    ReportArrives {
-        node: usize,
-        machine: String,
-        report: Box<Report>,
-        id: u64,
-    },
-    ReportAnswered {
-        machine: String,
-        id: u64,
-        answer: Answer,
-    },
-    World,
-    User(usize),
-    /// A request of a user out of turn.
-    UserNow(usize),
-    UserAnswered {
-        job: usize,
-        kind: u8,
-        /// When the controller gave it.
-        given: u64,
-        answer: Answer,
-    },
-    Trouble(Trouble),
-    Restart(usize),
-    /// What a controller that stood still sends when it wakes.
-    Thawed {
-        node: usize,
-        incarnation: u64,
-        output: Output,
-    },
-}
-
 struct Node {
     controller: Option<Controller>,
     incarnation: u64,
@@ -159,12 +67,6 @@
     healthy: bool,
 }
 
-enum Waiting {
-    Health,
-    User { job: usize, kind: u8 },
-    Report { machine: String, id: u64 },
-}
-
 pub struct World {
     pub now: u64,
     rng: StdRng,
@@ -186,7 +88,7 @@
     late_boots: u64,
     /// Jobs that fail on every machine until their users cancel them.
     mistaken: BTreeSet<String>,
-    watches: Vec<(u64, usize, u64, u64, StoreRequest)>,
+    watches: Vec<OpenWatch>,
     workers: BTreeMap<String, Worker>,
     rented: BTreeMap<String, Vec<String>>,
     next_machine: u32,
@@ -229,102 +131,8 @@
     pub leader_answers: usize,
     pub report_answers: usize,
 }
-impl World {
-    pub fn new(seed: u64, nodes: usize, jobs: usize, troubles: Vec<(u64, Trouble)>) -> World {
-        let mut rng = StdRng::seed_from_u64(seed);
-        let nodes = (0..nodes)
-            .map(|index| Node {
-                controller: None,
-                incarnation: 0,
-                name: format!("n{index}"),
-                offset: rng.random_range(0..5_000_000),
-                rate: rng.random_range(0.9995..1.0005),
-                store_cut: 0,
-                peer_cut: 0,
-                worker_cut: 0,
-                refused: 0,
-                reads_lost: 0,
-                frozen_until: 0,
-                last_inputs: 0,
-                healthy: false,
-            })
-            .collect();
-        let mut world = World {
-            now: 0,
-            rng,
-            order: 0,
-            heap: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
-            nodes,
-            store: Store::default(),
-            store_out: 0,
-            store_slow: 0,
-            cloud_out: 0,
-            peers_refuse: 0,
-            copies: 0,
-            late_writes: 0,
-            held_commands: 0,
-            cancel_at_end: 0,
-            odd_requests: 0,
-            south_alone: 0,
-            late_boots: 0,
-            mistaken: BTreeSet::new(),
-            watches: Vec::new(),
-            workers: BTreeMap::new(),
-            rented: BTreeMap::new(),
-            next_machine: 0,
-            jobs: Vec::new(),
-            requests: BTreeMap::new(),
-            next_request: 0,
-            next_report: 0,
-            most_heard_since: None,
-            on: BTreeMap::new(),
-            done_tasks: BTreeSet::new(),
-            broken: Vec::new(),
-            starts: 0,
-            lost_tasks: 0,
-            failures: 0,
-            starts_after_cancel: 0,
-            longest_cancelled: 0,
-            sent: Sent::default(),
-            capacity: 4,
-            run_times: 1,
-            team_cpus: TEAM_CPUS,
-            calm_at: troubles
-                .iter()
-                .map(|(at, trouble)| at + trouble.lasts())
-                .max()
-                .unwrap_or(0),
-        };
-        for index in 0..jobs {
-            let job = world.draw_job(index);
-            world.at(job.submit_at, Happening::User(index));
-            world.jobs.push(job);
-        }
-        for node in 0..world.nodes.len() {
-            let at = world.rng.random_range(0..200);
-            world.at(at, Happening::Restart(node));
-        }
-        for (at, trouble) in troubles {
-            world.at(at, Happening::Trouble(trouble));
-        }
-        world.at(100, Happening::World);
-        world
-    }
-
-    /// Room for some thousand machines, and teams that may use them.
-    pub fn at_size(seed: u64, nodes: usize, troubles: Vec<(u64, Trouble)>) -> World {
-        World::of_size(seed, nodes, 1_000, troubles)
-    }
-
-    /// Room for so many machines of each zone and kind, of which there are four.
-    pub fn of_size(seed: u64, nodes: usize, capacity: usize, troubles: Vec<(u64, Trouble)>) -> World {
-        let mut world = World::new(seed, nodes, 0, troubles);
-        world.capacity = capacity;
-        world.team_cpus = 20.0 * capacity as f64;
-        world
-    }
 
+impl World {
     /// Machines that no answer reaches, and that are still rented.
     pub fn deaf_machines(&self) -> usize {
         let deaf = |worker: &&Worker| worker.up(self.now) && self.now < worker.deaf_until;
@@ -411,124 +219,9 @@
         }
     }
 
-    fn restart(&mut self, node: usize) {
-        let incarnation = self.rng.random::<u32>() as u64 + 1;
-        let name = self.nodes[node].name.clone();
-        let peers: String = (0..self.nodes.len())
-            .filter(|&other| other != node)
-            .map(|other| format!("[[seeds]]\nnode = \"n{other}\"\nlocation = \"north\"\naddress = \"127.0.0.1:9\"\n"))
-            .collect();
-        let limit = format!("cpus_max = {:.1}", self.team_cpus);
-        let text = SETTINGS.replace("NODE", &name).replace("PEERS", &peers);
-        let text = text.replace("cpus_max = 24.0", &limit);
-        let settings = Settings::parse(&text).expect("valid settings");
-        self.nodes[node].incarnation = incarnation;
-        self.nodes[node].controller = Some(Controller::new(settings, Policy::default(), incarnation));
-        self.at(self.now, Happening::Tick(node));
-    }
-
     fn leader(&self) -> Option<usize> {
         self.nodes
             .iter()
             .position(|node| node.controller.as_ref().is_some_and(Controller::leads))
     }
-
-    /// Workers' time passes, and their reports go out.
-    fn world(&mut self) {
-        let nodes = self.nodes.len();
-        if self.now % 1_000 < 100 {
-            for node in 0..nodes {
-                if self.now < self.alone_until(node).max(self.nodes[node].frozen_until) {
-                    self.nodes[node].healthy = false;
-                    continue;
-                }
-                let request = self.expect(node, Waiting::Health);
-                self.step(node, Input::Health { request });
-            }
-        }
-        self.check_known();
-        self.check_waiting();
-        self.send_odd_requests();
-        if self.now >= self.store_out && self.store_out > 0 {
-            self.store_out = 0;
-            self.store.refresh_leases(self.now);
-        }
-        if self.store_out == 0 {
-            self.store.expire(self.now);
-            self.serve_watches();
-        }
-        let names: Vec<String> = self.workers.keys().cloned().collect();
-        for name in names {
-            let now = self.now;
-            let Some(worker) = self.workers.get_mut(&name) else {
-                continue;
-            };
-            if !worker.up(now) {
-                continue;
-            }
-            if worker.spot_reclaim_at.is_some_and(|at| now >= at) {
-                self.machine_gone(&name);
-                continue;
-            }
-            if now < worker.hung_until {
-                continue;
-            }
-            let mut effects = Vec::new();
-            worker.advance(now, LEASE_MS, &mut effects);
-            if worker.report_out.is_some_and(|(_, sent)| now >= sent + 4_000) {
-                worker.report_out = None;
-                worker.node = (worker.node + 1) % nodes;
-                worker.next_report = now + 1_000;
-            }
-            let mut sent = None;
-            if worker.report_out.is_none() && now >= worker.next_report {
-                self.next_report += 1;
-                let id = self.next_report;
-                worker.report_out = Some((id, now));
-                worker.next_report = now + 3_000;
-                if now < worker.mute_until {
-                    // Refused at once: it tries the next controller.
-                    worker.report_out = None;
-                    worker.node = (worker.node + 1) % nodes;
-                    worker.next_report = now + 1_000;
-                } else {
-                    let south = worker.zone == "south";
-                    sent = Some((worker.node, id, Box::new(worker.report()), worker.cut_until, south));
-                }
-            }
-            self.take_effects(&name, effects);
-            if let Some((node, id, report, cut, south)) = sent {
-                let cut = cut.max(self.nodes[node].worker_cut).max(self.apart(node, south));
-                // Reports may be held back and arrive late.
-                let delay = if now < cut { cut - now + 500 } else { self.delay() };
-                if now < self.copies && self.rng.random_bool(0.3) {
-                    let (node, late) = (self.rng.random_range(0..nodes), self.rng.random_range(1_000..90_000));
-                    // Nobody waits for its answer.
-                    let copy = Happening::ReportArrives {
-                        node,
-                        machine: name.clone(),
-                        report: report.clone(),
-                        id: 0,
-                    };
-                    self.at(now + late, copy);
-                }
-                self.at(
-                    now + delay,
-                    Happening::ReportArrives {
-                        node,
-                        machine: name,
-                        report,
-                        id,
-                    },
-                );
-            }
-        }
-        self.check_cancelled();
-    }
-}
-
-/// What a link carries is what comes out of it.
-fn over_the_wire(message: &Message) -> Message {
-    let bytes = rmp_serde::to_vec(message).expect("written");
-    rmp_serde::from_slice(&bytes).expect("read")
 }
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -1,4 +1,4 @@
-//! What is under way: requests, answers and messages, late, lost or held back.
+//! The network: answers and messages on their way, and who is cut off from whom.
 
 use super::*;
 
@@ -14,485 +14,123 @@
         still
     }
 
+    /// Sends what a controller puts out, as far as the network lets it through.
     pub(super) fn output(&mut self, node: usize, incarnation: u64, output: Output) {
         match output {
-            Output::Answer { request, answer } => {
-                let delay = self.delay();
-                if let Some(Waiting::Report { .. }) = self.requests.get(&(node, request)) {
-                    self.sent.report_answers += 1;
-                    self.sent.leader_answers += usize::from(self.leader() == Some(node));
-                }
-                match self.requests.remove(&(node, request)) {
-                    Some(Waiting::User { job, kind }) => {
-                        let given = self.now;
-                        self.at(
-                            self.now + delay,
-                            Happening::UserAnswered {
-                                job,
-                                kind,
-                                given,
-                                answer,
-                            },
-                        );
-                    }
-                    Some(Waiting::Health) => self.nodes[node].healthy = answer.status == 200,
-                    Some(Waiting::Report { machine, id })
-                        if self.now >= self.nodes[node].worker_cut.max(self.apart_from(node, &machine)) =>
-                    {
-                        self.at(self.now + delay, Happening::ReportAnswered { machine, id, answer });
-                    }
-                    _ => {}
-                }
-            }
-            Output::Peer { node: to, message } => {
-                self.sent.messages += 1;
-                let Some(to) = self.nodes.iter().position(|other| other.name == to) else {
-                    return;
-                };
-                let alone = self.alone_until(node).max(self.alone_until(to));
-                let cut = self.nodes[node].peer_cut.max(self.nodes[to].peer_cut).max(alone);
-                if self.now < cut.max(self.peers_refuse) {
-                    return;
-                }
-                let (delay, to_life) = (self.delay(), self.nodes[to].incarnation);
-                let input = Input::Peer {
-                    node: self.nodes[node].name.clone(),
-                    message: Box::new(over_the_wire(&message)),
-                };
-                self.at(
-                    self.now + delay,
-                    Happening::Input {
-                        node: to,
-                        incarnation: to_life,
-                        input,
-                    },
-                );
-            }
-            Output::Store { call, request } => {
-                self.sent.store_requests += 1;
-                self.sent.store_writes += request.writes() as usize;
-                if self.now < self.nodes[node].refused {
-                    self.refuse(node, incarnation, call, request);
-                    return;
-                }
-                let reads = matches!(
-                    request,
-                    StoreRequest::Get(_) | StoreRequest::List { .. } | StoreRequest::Watch { .. }
-                );
-                if reads && self.now < self.nodes[node].reads_lost {
-                    let reply = StoreReply::Unanswered;
-                    let input = Input::Store { call, reply };
-                    self.at(
-                        self.now + 2_000,
-                        Happening::Input {
-                            node,
-                            incarnation,
-                            input,
-                        },
-                    );
-                    return;
-                }
-                let alone = self.alone_until(node);
-                let cut = self.nodes[node].store_cut.max(alone);
-                if self.now < cut {
-                    // Held back: applied late, when nobody waits any more.
-                    if matches!(request, StoreRequest::Transact(_)) && self.rng.random_bool(0.5) {
-                        let late = cut + self.rng.random_range(0..3_000);
-                        self.at(
-                            late,
-                            Happening::Store {
-                                node,
-                                incarnation,
-                                call,
-                                request,
-                                reply: false,
-                            },
-                        );
-                    }
-                    let input = Input::Store {
-                        call,
-                        reply: StoreReply::Unanswered,
-                    };
-                    self.at(
-                        self.now + 2_000,
-                        Happening::Input {
-                            node,
-                            incarnation,
-                            input,
-                        },
-                    );
-                    return;
-                }
-                let slow = if self.now < self.store_slow { 15 } else { 1 };
-                let delay = self.delay() * slow;
-                let held = self.now < self.late_writes
-                    && matches!(request, StoreRequest::Transact(_))
-                    && self.rng.random_bool(0.33);
-                let lost = held || self.rng.random_bool(0.003);
-                if lost {
-                    let input = Input::Store {
-                        call,
-                        reply: StoreReply::Unanswered,
-                    };
-                    self.at(
-                        self.now + 2_000,
-                        Happening::Input {
-                            node,
-                            incarnation,
-                            input,
-                        },
-                    );
-                }
-                let late = match (held, lost) {
-                    (true, _) => self.rng.random_range(2_000..12_000),
-                    (_, true) => self.rng.random_range(0..8_000),
-                    _ => delay,
-                };
-                self.at(
-                    self.now + late,
-                    Happening::Store {
-                        node,
-                        incarnation,
-                        call,
-                        request,
-                        reply: !lost,
-                    },
-                );
-            }
-            Output::Cloud { call, request } => {
-                let delay = self.rng.random_range(50..300);
-                let lost = self.rng.random_bool(0.02);
-                if lost {
-                    let input = Input::Cloud {
-                        call,
-                        reply: CloudReply::Unanswered,
-                    };
-                    self.at(
-                        self.now + 6_000,
-                        Happening::Input {
-                            node,
-                            incarnation,
-                            input,
-                        },
-                    );
-                }
-                let late = if lost { self.rng.random_range(0..15_000) } else { delay };
-                self.at(
-                    self.now + late,
-                    Happening::Cloud {
-                        node,
-                        incarnation,
-                        call,
-                        request,
-                        reply: !lost,
-                    },
-                );
-            }
-            Output::Worker {
-                call,
-                address,
-                commands,
-            } => {
-                self.sent.direct_commands += 1;
-                let delay = self.delay();
-                let cut = self
-                    .workers
-                    .get(&address)
-                    .map_or(0, |worker| {
-                        worker.cut_until.max(worker.deaf_until).max(worker.hung_until)
-                    })
-                    .max(self.nodes[node].worker_cut)
-                    .max(self.apart_from(node, &address));
-                let held = self.now < cut;
-                if !held && self.now < self.held_commands && self.rng.random_bool(0.5) {
-                    self.hold_command(node, incarnation, call, address, commands);
-                    return;
-                }
-                if held || self.rng.random_bool(0.02) {
-                    let input = Input::Worker {
-                        call,
-                        reply: WorkerReply::Unanswered,
-                    };
-                    self.at(
-                        self.now + 2_500,
-                        Happening::Input {
-                            node,
-                            incarnation,
-                            input,
-                        },
-                    );
-                    // Delivered late, perhaps minutes after its time.
-                    let late = if held { cut - self.now } else { 0 } + self.rng.random_range(0..20_000);
-                    self.at(
-                        self.now + late,
-                        Happening::Direct {
-                            node,
-                            incarnation,
-                            call,
-                            machine: address,
-                            commands,
-                            reply: false,
-                        },
-                    );
-                } else {
-                    self.at(
-                        self.now + delay,
-                        Happening::Direct {
-                            node,
-                            incarnation,
-                            call,
-                            machine: address,
-                            commands,
-                            reply: true,
-                        },
-                    );
-                }
-            }
-        }
-    }
-
-    pub(super) fn happen(&mut self, happening: Happening) {
-        if let Happening::Tick(node) | Happening::Input { node, .. } | Happening::ReportArrives { node, .. } =
-            &happening
-            && self.stands_still(*node)
-        {
-            // The tick first: it was due all the time.
-            let late = u64::from(!matches!(happening, Happening::Tick(_)));
-            let thaw = self.nodes[*node].frozen_until;
-            self.at(thaw + late, happening);
-            return;
-        }
-        match happening {
-            Happening::Thawed {
-                node,
-                incarnation,
-                output,
-            } => {
-                if self.nodes[node].incarnation == incarnation {
-                    self.output(node, incarnation, output);
-                }
-            }
-            Happening::Tick(node) => {
-                if self.nodes[node].controller.is_some() {
-                    self.step(node, Input::Tick);
-                    self.at(self.now + 50, Happening::Tick(node));
-                }
-            }
-            Happening::Input {
-                node,
-                incarnation,
-                input,
-            } => {
-                if self.nodes[node].incarnation == incarnation {
-                    self.step(node, input);
-                }
-            }
-            Happening::Store {
-                node,
-                incarnation,
-                call,
+            Output::Answer { request, answer } => self.send_answer(node, request, answer),
+            Output::Peer { node: to, message } => self.send_to_peer(node, &to, &message),
+            Output::Store { call, request } => self.send_to_store(
+                Caller {
+                    node,
+                    incarnation,
+                    call,
+                },
                 request,
-                reply,
-            } => self.store_call(node, incarnation, call, request, reply),
-            Happening::Cloud {
-                node,
-                incarnation,
-                call,
+            ),
+            Output::Cloud { call, request } => self.send_to_cloud(
+                Caller {
+                    node,
+                    incarnation,
+                    call,
+                },
                 request,
-                reply,
-            } => {
-                let answer = self.cloud_call(&request);
-                if reply {
-                    let input = Input::Cloud { call, reply: answer };
-                    self.at(
-                        self.now + 20,
-                        Happening::Input {
-                            node,
-                            incarnation,
-                            input,
-                        },
-                    );
-                }
-            }
-            Happening::Direct {
-                node,
-                incarnation,
+            ),
+            Output::Worker {
                 call,
-                machine,
+                address,
                 commands,
-                reply,
-            } => {
-                let answer = self.direct(&machine, &commands);
-                if reply {
-                    let delay = self.delay();
-                    let input = Input::Worker { call, reply: answer };
-                    self.at(
-                        self.now + delay,
-                        Happening::Input {
-                            node,
-                            incarnation,
-                            input,
-                        },
-                    );
-                }
-            }
-            Happening::ReportArrives {
-                node,
-                machine,
-                report,
-                id,
-            } => {
-                if self.nodes[node].controller.is_none() {
-                    return;
-                }
-                let request = self.expect(node, Waiting::Report { machine, id });
-                self.step(node, Input::Report { request, report });
-            }
-            Happening::ReportAnswered { machine, id, answer } => self.report_answered(&machine, id, &answer),
-            Happening::World => {
-                self.world();
-                self.at(self.now + 100, Happening::World);
-            }
-            Happening::User(job) => {
-                self.at(self.now + 2_500, Happening::User(job));
-                self.user(job);
-            }
-            Happening::UserNow(job) => self.user(job),
-            Happening::UserAnswered {
-                job,
-                kind,
-                given,
-                answer,
-            } => self.user_answered(job, kind, given, &answer),
-            Happening::Trouble(trouble) => self.trouble(trouble),
-            Happening::Restart(node) => self.restart(node),
-        }
-    }
-
-    pub(super) fn store_call(&mut self, node: usize, incarnation: u64, call: u64, request: StoreRequest, reply: bool) {
-        if self.now < self.store_out {
-            if let StoreRequest::Watch { wait_ms, .. } = &request
-                && *wait_ms > 0
-            {
-                let until = self.now + wait_ms;
-                self.watches.push((until, node, incarnation, call, request));
-            } else if reply {
-                let input = Input::Store {
-                    call,
-                    reply: StoreReply::Unavailable,
-                };
-                self.at(
-                    self.now + 2,
-                    Happening::Input {
-                        node,
-                        incarnation,
-                        input,
-                    },
-                );
-            }
-            return;
-        }
-        let answer = self.store.execute(self.now, &request);
-        if let (StoreRequest::Watch { wait_ms, .. }, StoreReply::Log(log)) = (&request, &answer)
-            && *wait_ms > 0
-            && log.events.is_empty()
-        {
-            let until = self.now + wait_ms;
-            self.watches.push((until, node, incarnation, call, request));
-            return;
-        }
-        if reply {
-            let delay = self.delay();
-            let input = Input::Store { call, reply: answer };
-            self.at(
-                self.now + delay,
-                Happening::Input {
+            } => self.send_to_worker(
+                Caller {
                     node,
                     incarnation,
-                    input,
+                    call,
                 },
-            );
-        }
-        self.serve_watches();
-    }
-
-    pub(super) fn serve_watches(&mut self) {
-        if self.now < self.store_out {
-            return;
-        }
-        for (until, node, incarnation, call, request) in std::mem::take(&mut self.watches) {
-            let answer = self.store.execute(self.now, &request);
-            let empty = matches!(&answer, StoreReply::Log(log) if log.events.is_empty());
-            let node_shut = &self.nodes[node];
-            let shut = node_shut.store_cut.max(node_shut.refused).max(node_shut.reads_lost);
-            let shut = shut.max(self.alone_until(node));
-            if (empty && self.now < until) || self.now < shut {
-                self.watches.push((until, node, incarnation, call, request));
-            } else {
-                let delay = self.delay();
-                let input = Input::Store { call, reply: answer };
-                self.at(
-                    self.now + delay,
-                    Happening::Input {
-                        node,
-                        incarnation,
-                        input,
-                    },
-                );
-            }
+                address,
+                commands,
+            ),
         }
     }
 
-    /// 503 to this controller alone; its watches wait as in an outage.
-    fn refuse(&mut self, node: usize, incarnation: u64, call: u64, request: StoreRequest) {
+    fn send_answer(&mut self, node: usize, request: u64, answer: Answer) {
         let delay = self.delay();
-        match &request {
-            StoreRequest::Watch { wait_ms, .. } if *wait_ms > 0 => {
-                let until = self.now + wait_ms;
-                self.watches.push((until, node, incarnation, call, request));
+        if let Some(Waiting::Report { .. }) = self.requests.get(&(node, request)) {
+            self.sent.report_answers += 1;
+            self.sent.leader_answers += usize::from(self.leader() == Some(node));
+        }
+        match self.requests.remove(&(node, request)) {
+            Some(Waiting::User { job, kind }) => {
+                let answered = Happening::UserAnswered {
+                    job,
+                    kind,
+                    given: self.now,
+                    answer,
+                };
+                self.at(self.now + delay, answered);
             }
-            _ => {
-                let reply = StoreReply::Unavailable;
-                let input = Input::Store { call, reply };
-                self.at(
-                    self.now + delay,
-                    Happening::Input {
-                        node,
-                        incarnation,
-                        input,
-                    },
-                );
+            Some(Waiting::Health) => self.nodes[node].healthy = answer.status == 200,
+            Some(Waiting::Report { machine, id })
+                if self.now >= self.nodes[node].worker_cut.max(self.apart_from(node, &machine)) =>
+            {
+                self.at(self.now + delay, Happening::ReportAnswered { machine, id, answer });
             }
+            _ => {}
         }
     }
 
-    /// The command is carried out at once or late, and nobody hears of it in time.
-    fn hold_command(&mut self, node: usize, incarnation: u64, call: u64, machine: String, commands: DirectCommands) {
-        let reply = WorkerReply::Unanswered;
-        let input = Input::Worker { call, reply };
+    fn send_to_peer(&mut self, node: usize, to: &str, message: &Message) {
+        self.sent.messages += 1;
+        let Some(to) = self.nodes.iter().position(|other| other.name == to) else {
+            return;
+        };
+        let alone = self.alone_until(node).max(self.alone_until(to));
+        let cut = self.nodes[node].peer_cut.max(self.nodes[to].peer_cut).max(alone);
+        if self.now < cut.max(self.peers_refuse) {
+            return;
+        }
+        let (delay, incarnation) = (self.delay(), self.nodes[to].incarnation);
+        let input = Input::Peer {
+            node: self.nodes[node].name.clone(),
+            message: Box::new(over_the_wire(message)),
+        };
         self.at(
-            self.now + 2_500,
+            self.now + delay,
             Happening::Input {
-                node,
+                node: to,
                 incarnation,
                 input,
             },
         );
-        let late = if self.rng.random_bool(0.5) {
-            5
-        } else {
-            self.rng.random_range(1_000..9_000)
+    }
+
+    fn send_to_cloud(&mut self, caller: Caller, request: CloudRequest) {
+        let delay = self.rng.random_range(50..300);
+        let lost = self.rng.random_bool(0.02);
+        if lost {
+            self.give_cloud_reply(caller, 6_000, CloudReply::Unanswered);
+        }
+        let late = if lost { self.rng.random_range(0..15_000) } else { delay };
+        let arrival = Happening::Cloud {
+            caller,
+            request,
+            reply: !lost,
         };
-        let reply = false;
+        self.at(self.now + late, arrival);
+    }
+
+    /// Delivers the reply of the cloud to the run of the controller that made the call.
+    pub(super) fn give_cloud_reply(&mut self, caller: Caller, after_ms: u64, reply: CloudReply) {
+        let Caller {
+            node,
+            incarnation,
+            call,
+        } = caller;
+        let input = Input::Cloud { call, reply };
         self.at(
-            self.now + late,
-            Happening::Direct {
+            self.now + after_ms,
+            Happening::Input {
                 node,
                 incarnation,
-                call,
-                machine,
-                commands,
-                reply,
+                input,
             },
         );
     }
@@ -519,9 +157,15 @@
         }
     }
 
-    fn apart_from(&self, node: usize, machine: &str) -> u64 {
+    pub(super) fn apart_from(&self, node: usize, machine: &str) -> u64 {
         self.workers
             .get(machine)
             .map_or(0, |worker| self.apart(node, worker.zone == "south"))
     }
 }
+
+/// What a link carries is what comes out of it.
+fn over_the_wire(message: &Message) -> Message {
+    let bytes = rmp_serde::to_vec(message).expect("written");
+    rmp_serde::from_slice(&bytes).expect("read")
+}
--- a/tests/rules/world/stored.rs
+++ b/tests/rules/world/stored.rs
@@ -85,7 +85,7 @@
         self.on.contains_key(task)
     }
 
-    /// What came of a machine request's request.
+    /// The machines that a request was answered with.
     pub fn rented_as(&self, request: &str) -> Option<&Vec<String>> {
         self.rented.get(request)
     }
--- /dev/null
+++ b/tests/rules/world/user_answers.rs
@@ -0,0 +1,148 @@
+//! What users are told, checked against what they were told before, and invalid requests.
+
+use super::*;
+
+impl World {
+    pub(super) fn user_answered(&mut self, index: usize, kind: u8, given: u64, answer: &Answer) {
+        let now = self.now;
+        let id = self.jobs[index].spec.id.clone();
+        if kind == World::UNKNOWN {
+            if answer.status == 200 {
+                self.broken.push(format!("invented: {}", answer.body));
+            }
+            return;
+        }
+        if kind == World::ODD {
+            // It can't run or lacks a field.
+            if !matches!(answer.status, 400 | 422 | 429 | 503) {
+                self.broken
+                    .push(format!("accepted: {}, {}", answer.status, answer.body));
+            }
+            return;
+        }
+        let job = &mut self.jobs[index];
+        if matches!(answer.status, 400 | 422) || (answer.status == 404 && job.told != Told::Nothing) {
+            self.broken.push(format!(
+                "forgotten: {id} answered {} at {now} ({})",
+                answer.status, answer.body
+            ));
+            return;
+        }
+        if !matches!(answer.status, 200 | 201) {
+            return;
+        }
+        job.answered_at = now;
+        let status: JobStatus = serde_json::from_str(&answer.body).expect("a job's state");
+        let told = match status.state {
+            JobState::Queued | JobState::Running => Told::Accepted,
+            JobState::Done => Told::Done,
+            JobState::Cancelled => Told::Cancelled,
+        };
+        // On its way already when the user was told otherwise: not an answer
+        // given after that.
+        if given < job.told_at && told != job.told {
+            return;
+        }
+        let ended = matches!(job.told, Told::Done | Told::Cancelled);
+        if (ended && told != job.told) || (told == Told::Cancelled && !job.cancel_asked) {
+            self.broken
+                .push(format!("went_back: {id} was {:?}, now {told:?} at {now}", job.told));
+        }
+        if told == Told::Done {
+            let missing = (0..job.spec.tasks)
+                .filter(|task| !self.done_tasks.contains(&format!("{id}/{task}")))
+                .count();
+            if missing > 0 {
+                self.broken
+                    .push(format!("not_done: {id} lacks {missing} tasks at {now}"));
+            }
+        }
+        if job.told != told {
+            job.told = told;
+            job.told_at = now;
+        }
+    }
+
+    /// Called off at the moment at which its last task ends.
+    pub(super) fn ended_now(&mut self, task: &str) {
+        let Some(index) = self.job_of(task).filter(|_| self.now < self.cancel_at_end) else {
+            return;
+        };
+        let (now, job) = (self.now, &mut self.jobs[index]);
+        let left = (0..job.spec.tasks)
+            .filter(|number| !self.done_tasks.contains(&format!("{}/{number}", job.spec.id)))
+            .count();
+        if left <= 1 && job.cancel_at.is_none() && self.rng.random_bool(0.5) {
+            job.cancel_at = Some(now);
+            let at = now + self.rng.random_range(0..600);
+            self.at(at, Happening::UserNow(index));
+        }
+    }
+
+    /// Repeats of known jobs, cancels of done ones, and jobs that no controller
+    /// may take: too large for any machine, of no team, or without a field.
+    pub(super) fn send_odd_requests(&mut self) {
+        if self.now >= self.odd_requests || self.jobs.is_empty() {
+            return;
+        }
+        let index = self.rng.random_range(0..self.jobs.len());
+        let job = &self.jobs[index];
+        let (kind, user_request) = match self.rng.random_range(0..4) {
+            0 if job.told != Told::Nothing => (
+                World::SUBMIT,
+                UserRequest::Submit(serde_json::to_string(&job.spec).expect("json")),
+            ),
+            1 if job.told == Told::Done => (World::CANCEL, UserRequest::Cancel(job.spec.id.clone())),
+            2 => (World::ODD, UserRequest::Submit(self.odd_job().to_string())),
+            _ => return,
+        };
+        let node = self.rng.random_range(0..self.nodes.len());
+        if self.nodes[node].controller.is_none() || self.now < self.nodes[node].frozen_until {
+            return;
+        }
+        let request = self.expect(node, Waiting::User { job: index, kind });
+        self.step(node, Input::User { request, user_request });
+    }
+
+    fn odd_job(&mut self) -> serde_json::Value {
+        let spec = JobSpec {
+            id: format!("j-8{:05}", self.rng.random_range(0..100_000)),
+            ..World::plain_spec()
+        };
+        let mut job = serde_json::to_value(spec).expect("json");
+        let fields = job.as_object_mut().expect("an object");
+        match self.rng.random_range(0..5) {
+            0 => fields.insert("cores".into(), 64.0.into()),
+            1 => fields.insert("memGb".into(), 4096.0.into()),
+            2 => fields.insert("yard".into(), "nowhere".into()),
+            3 => fields.insert("consignor".into(), "nobody".into()),
+            _ => {
+                let needed: Vec<String> = fields
+                    .iter()
+                    .filter(|(name, value)| !value.is_null() && *name != "id")
+                    .map(|(name, _)| name.clone())
+                    .collect();
+                fields.remove(&needed[self.rng.random_range(0..needed.len())])
+            }
+        };
+        job
+    }
+
+    /// For tests of the checks: the user was told so just now.
+    pub fn tell(&mut self, index: usize, told: Told) {
+        let (now, job) = (self.now, &mut self.jobs[index]);
+        job.told = told;
+        job.told_at = now;
+        job.answered_at = now;
+    }
+
+    /// For tests of the checks: a controller answers so.
+    pub fn is_answered(&mut self, index: usize, kind: u8, status: u16, body: &str) {
+        let answer = Answer {
+            status,
+            body: body.into(),
+            retry_after_s: None,
+        };
+        self.user_answered(index, kind, self.now, &answer);
+    }
+}
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -57,13 +57,14 @@
         !self.gone && now >= self.up_at
     }
 
+    /// Until when neither an answer nor a direct command is taken.
+    pub fn unreachable_until(&self) -> u64 {
+        self.cut_until.max(self.deaf_until).max(self.hung_until)
+    }
+
     /// In reach, at work, and not about to go.
     pub fn well(&self, now: u64) -> bool {
-        let until = self
-            .cut_until
-            .max(self.deaf_until)
-            .max(self.mute_until)
-            .max(self.hung_until);
+        let until = self.unreachable_until().max(self.mute_until);
         self.up(now) && now >= until && now >= self.sick_until && self.spot_reclaim_at.is_none()
     }
 
