--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -18,6 +18,23 @@
         };
         let job = &self.jobs[index];
         self.failures += u64::from(self.mistaken.contains(&job.spec.id));
+        self.check_place(index, machine, task);
+        let job = &self.jobs[index];
+        if job.told == Told::Cancelled {
+            self.starts_after_cancel += 1;
+        }
+        if job.told == Told::Cancelled && now > job.told_at + CANCEL_MS {
+            self.broken.push(format!("ran_cancelled: {task} started at {now}"));
+        }
+        let job = &mut self.jobs[index];
+        job.first_start.get_or_insert(now);
+        job.waits_since = None;
+        self.check_quota();
+    }
+
+    /// A task starts only where its job allows it.
+    fn check_place(&mut self, index: usize, machine: &str, task: &str) {
+        let (now, job) = (self.now, &self.jobs[index]);
         let worker = &self.workers[machine];
         let spec = &job.spec;
         let allowed = spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone) && (spec.spot || !worker.spot);
@@ -34,15 +51,11 @@
             self.broken
                 .push(format!("wrong_place: {task} on {machine}, {zones:?} at {now}"));
         }
-        if job.told == Told::Cancelled {
-            self.starts_after_cancel += 1;
-        }
-        if job.told == Told::Cancelled && now > job.told_at + CANCEL_MS {
-            self.broken.push(format!("ran_cancelled: {task} started at {now}"));
-        }
-        let job = &mut self.jobs[index];
-        job.first_start.get_or_insert(now);
-        job.waits_since = None;
+    }
+
+    /// No team uses more than its limit.
+    fn check_quota(&mut self) {
+        let now = self.now;
         for team in ["red", "blue"] {
             let used: f64 = self
                 .on
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -22,6 +22,7 @@
         types: vec![machine_type("small", 4.0), machine_type("large", 8.0)],
     }
 }
+
 impl World {
     pub(super) fn new_worker(&mut self, name: &str, machine_type: &str, zone: &str, spot: bool, boot: u64) -> Worker {
         let node = match self.nodes.len() {
@@ -59,75 +60,84 @@
         }
         match request {
             CloudRequest::Catalogue => CloudReply::Catalogue(catalogue()),
-            CloudRequest::RequestMachines(machine_request) => {
-                if let Some(names) = self.rented.get(&machine_request.request) {
-                    return CloudReply::Provisioned(MachineNames {
-                        machines: names.clone(),
-                    });
-                }
-                let there = self
-                    .workers
-                    .values()
-                    .filter(|w| !w.gone && w.zone == machine_request.zone && w.spot == machine_request.spot)
-                    .count();
-                let count = (machine_request.count as usize).min(self.capacity.saturating_sub(there));
-                if count == 0 {
-                    return CloudReply::NoCapacity;
-                }
-                let mut names = Vec::new();
-                for _ in 0..count {
-                    let name = format!("host-{:06}", self.next_machine);
-                    self.next_machine += 1;
-                    let late = self.now < self.late_boots;
-                    let boot = if self.rng.random_bool(if late { 0.3 } else { 0.05 }) {
-                        10_000_000
-                    } else if late {
-                        self.rng.random_range(8_000..40_000)
-                    } else {
-                        self.rng.random_range(500..8_000)
-                    };
-                    let worker = self.new_worker(
-                        &name,
-                        &machine_request.machine_type,
-                        &machine_request.zone,
-                        machine_request.spot,
-                        boot,
-                    );
-                    self.workers.insert(name.clone(), worker);
-                    names.push(name);
-                }
-                self.rented.insert(machine_request.request.clone(), names.clone());
-                CloudReply::Provisioned(MachineNames { machines: names })
-            }
+            CloudRequest::RequestMachines(machine_request) => self.rent(machine_request),
             CloudRequest::Delete(names) => {
                 for name in &names.machines {
                     self.machine_gone(name);
                 }
                 CloudReply::Deleted
             }
-            CloudRequest::List { after } => {
-                let listed = self
-                    .workers
-                    .values()
-                    .filter(|w| !w.gone && w.name > *after)
-                    .map(|w| ListedMachine {
-                        id: w.name.clone(),
-                        address: Some(w.name.clone()),
-                        machine_type: w.machine_type.clone(),
-                        zone: w.zone.clone(),
-                        spot: w.spot,
-                        state: if self.now >= w.up_at {
-                            MachineState::Running
-                        } else {
-                            MachineState::Starting
-                        },
-                        age_s: (self.now - w.requested_at) as f64 / 1000.0,
-                    });
-                let mut machines: Vec<ListedMachine> = listed.take(LIST_LIMIT + 1).collect();
-                let more = machines.len() > LIST_LIMIT;
-                machines.truncate(LIST_LIMIT);
-                CloudReply::Listed(MachineList { machines, more })
-            }
+            CloudRequest::List { after } => self.list_machines(after),
+        }
+    }
+
+    fn rent(&mut self, machine_request: &MachineRequest) -> CloudReply {
+        if let Some(names) = self.rented.get(&machine_request.request) {
+            return CloudReply::Provisioned(MachineNames {
+                machines: names.clone(),
+            });
+        }
+        let there = self
+            .workers
+            .values()
+            .filter(|w| !w.gone && w.zone == machine_request.zone && w.spot == machine_request.spot)
+            .count();
+        let count = (machine_request.count as usize).min(self.capacity.saturating_sub(there));
+        if count == 0 {
+            return CloudReply::NoCapacity;
+        }
+        let mut names = Vec::new();
+        for _ in 0..count {
+            let name = format!("host-{:06}", self.next_machine);
+            self.next_machine += 1;
+            let boot = self.draw_boot_ms();
+            let worker = self.new_worker(
+                &name,
+                &machine_request.machine_type,
+                &machine_request.zone,
+                machine_request.spot,
+                boot,
+            );
+            self.workers.insert(name.clone(), worker);
+            names.push(name);
+        }
+        self.rented.insert(machine_request.request.clone(), names.clone());
+        CloudReply::Provisioned(MachineNames { machines: names })
+    }
+
+    /// How long a machine takes to boot; some never come up.
+    fn draw_boot_ms(&mut self) -> u64 {
+        let late = self.now < self.late_boots;
+        if self.rng.random_bool(if late { 0.3 } else { 0.05 }) {
+            10_000_000
+        } else if late {
+            self.rng.random_range(8_000..40_000)
+        } else {
+            self.rng.random_range(500..8_000)
         }
     }
+
+    fn list_machines(&self, after: &str) -> CloudReply {
+        let listed = self
+            .workers
+            .values()
+            .filter(|w| !w.gone && *w.name > *after)
+            .map(|w| ListedMachine {
+                id: w.name.clone(),
+                address: Some(w.name.clone()),
+                machine_type: w.machine_type.clone(),
+                zone: w.zone.clone(),
+                spot: w.spot,
+                state: if self.now >= w.up_at {
+                    MachineState::Running
+                } else {
+                    MachineState::Starting
+                },
+                age_s: (self.now - w.requested_at) as f64 / 1000.0,
+            });
+        let mut machines: Vec<ListedMachine> = listed.take(LIST_LIMIT + 1).collect();
+        let more = machines.len() > LIST_LIMIT;
+        machines.truncate(LIST_LIMIT);
+        CloudReply::Listed(MachineList { machines, more })
+    }
 }
--- a/tests/rules/world/delivery.rs
+++ b/tests/rules/world/delivery.rs
@@ -21,24 +21,7 @@
             | Happening::ReportArrives { .. }
             | Happening::Restart(_) => self.happen_to_controller(happening),
             Happening::Store { caller, request, reply } => self.store_call(caller, request, reply),
-            Happening::Cloud { caller, request, reply } => {
-                let answer = self.cloud_call(&request);
-                if reply {
-                    self.give_cloud_reply(caller, 20, answer);
-                }
-            }
-            Happening::Direct {
-                caller,
-                machine,
-                commands,
-                reply,
-            } => {
-                let answer = self.direct(&machine, &commands);
-                if reply {
-                    let delay = self.delay();
-                    self.give_worker_reply(caller, delay, answer);
-                }
-            }
+            Happening::Cloud { .. } | Happening::Direct { .. } => self.happen_to_service(happening),
             Happening::ReportAnswered { machine, id, answer } => self.report_answered(&machine, id, &answer),
             Happening::World => {
                 self.world();
@@ -84,6 +67,31 @@
         }
     }
 
+    /// A call reaches the cloud or a worker, which answers unless the answer is lost.
+    fn happen_to_service(&mut self, happening: Happening) {
+        match happening {
+            Happening::Cloud { caller, request, reply } => {
+                let answer = self.cloud_call(&request);
+                if reply {
+                    self.give_cloud_reply(caller, 20, answer);
+                }
+            }
+            Happening::Direct {
+                caller,
+                machine,
+                commands,
+                reply,
+            } => {
+                let answer = self.direct(&machine, &commands);
+                if reply {
+                    let delay = self.delay();
+                    self.give_worker_reply(caller, delay, answer);
+                }
+            }
+            _ => {}
+        }
+    }
+
     fn happen_to_user(&mut self, happening: Happening) {
         match happening {
             Happening::User(job) => {
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -5,97 +5,30 @@
 impl World {
     pub(super) fn trouble(&mut self, trouble: Trouble) {
         match trouble {
-            Trouble::Crash { node } => {
-                // The leader, when one is named that is out of range.
-                let node = self.pick_node(node);
-                self.crash(node, 4_000);
-            }
-            Trouble::Blink { node } => {
-                let node = self.pick_node(node);
-                let pause = self.rng.random_range(50..900);
-                self.crash(node, pause);
-            }
-            Trouble::Freeze { node, ms } => {
-                let node = self.pick_node(node);
-                self.nodes[node].frozen_until = self.now + ms;
-                self.nodes[node].last_inputs = 3;
-            }
-            Trouble::CutFromAllButWorkers { node, ms } => {
-                let node = self.pick_node(node);
-                self.nodes[node].store_cut = self.now + ms;
-                self.nodes[node].peer_cut = self.now + ms;
-            }
-            Trouble::Refused { node, ms } => {
-                let node = self.pick_node(node);
-                self.nodes[node].refused = self.now + ms;
-            }
-            Trouble::ReadsLost { node, ms } => {
-                let node = self.pick_node(node);
-                self.nodes[node].reads_lost = self.now + ms;
-            }
-            Trouble::AllSick { ms } => {
-                for worker in self.workers.values_mut() {
-                    worker.sick_until = self.now + ms;
-                }
-            }
-            Trouble::LateWrites { ms } => self.late_writes = self.now + ms,
-            Trouble::HeldCommands { ms } => self.held_commands = self.now + ms,
-            Trouble::CancelAtEnd { ms } => self.cancel_at_end = self.now + ms,
-            Trouble::OddRequests { ms } => self.odd_requests = self.now + ms,
-            Trouble::SouthAlone { ms } => self.south_alone = self.now + ms,
+            Trouble::Crash { node }
+            | Trouble::Blink { node }
+            | Trouble::Freeze { node, .. }
+            | Trouble::CutFromStore { node, .. }
+            | Trouble::CutFromPeers { node, .. }
+            | Trouble::CutFromWorkers { node, .. }
+            | Trouble::CutFromAllButWorkers { node, .. }
+            | Trouble::Refused { node, .. }
+            | Trouble::ReadsLost { node, .. } => self.trouble_of_controller(node, trouble),
+            Trouble::MachineCut { .. }
+            | Trouble::MachineDeaf { .. }
+            | Trouble::MachineMute { .. }
+            | Trouble::MachineHangs { .. }
+            | Trouble::MachineTaken
+            | Trouble::MachineSick
+            | Trouble::MachineBlinks => self.trouble_of_machine(trouble),
             Trouble::AllAway { ms } => {
                 for node in 0..self.nodes.len() {
                     self.crash(node, ms);
                 }
             }
-            Trouble::CancelNow { hang_ms } => self.cancel_now(hang_ms),
-            Trouble::MachineMute { ms } => {
-                let now = self.now;
-                if let Some(worker) = self.pick_worker() {
-                    worker.mute_until = now + ms;
-                }
-            }
-            Trouble::MachineHangs { ms } => {
-                if let Some(name) = self.pick_worker().map(|worker| worker.name.clone()) {
-                    self.hang(&name, ms);
-                }
-            }
-            Trouble::PeersRefuse { ms } => self.peers_refuse = self.now + ms,
-            Trouble::StoreSlow { ms } => self.store_slow = self.now + ms,
-            Trouble::LateBoots { ms } => self.late_boots = self.now + ms,
-            Trouble::LateCopies { ms } => self.copies = self.now + ms,
-            Trouble::MachineDeaf { ms } => {
-                let now = self.now;
-                if let Some(worker) = self.pick_worker() {
-                    worker.deaf_until = now + ms;
-                }
-            }
-            Trouble::MachineBlinks => {
-                let now = self.now;
-                if let Some(worker) = self.pick_worker() {
-                    let (name, mut effects) = (worker.name.clone(), Vec::new());
-                    worker.next_session(now, &mut effects);
-                    self.take_effects(&name, effects);
-                }
-            }
-            Trouble::CutFromStore { node, ms } => {
-                let node = self.pick_node(node);
-                self.nodes[node].store_cut = self.now + ms;
-            }
-            Trouble::CutFromPeers { node, ms } => {
-                let node = self.pick_node(node);
-                self.nodes[node].peer_cut = self.now + ms;
-            }
-            Trouble::CutFromWorkers { node, ms } => {
-                let node = self.pick_node(node);
-                self.nodes[node].worker_cut = self.now + ms;
-            }
-            Trouble::StoreOutage { ms } => self.store_out = self.now + ms,
-            Trouble::CloudOutage { ms } => self.cloud_out = self.now + ms,
-            Trouble::MachineCut { ms } => {
-                let now = self.now;
-                if let Some(worker) = self.pick_worker() {
-                    worker.cut_until = now + ms;
+            Trouble::AllSick { ms } => {
+                for worker in self.workers.values_mut() {
+                    worker.sick_until = self.now + ms;
                 }
             }
             Trouble::ZoneCut { ms } => {
@@ -103,17 +36,78 @@
                 let south = self.workers.values_mut().filter(|worker| worker.zone == "south");
                 south.for_each(|worker| worker.cut_until = until);
             }
-            Trouble::MachineTaken => {
-                let now = self.now;
-                if let Some(worker) = self.pick_worker() {
-                    worker.spot_reclaim_at = Some(now + 500);
-                }
+            Trouble::CancelNow { hang_ms } => self.cancel_now(hang_ms),
+            _ => self.trouble_of_service(trouble),
+        }
+    }
+
+    /// Of a service, the network or the users, for a while.
+    fn trouble_of_service(&mut self, trouble: Trouble) {
+        let now = self.now;
+        match trouble {
+            Trouble::StoreOutage { ms } => self.store_out = now + ms,
+            Trouble::StoreSlow { ms } => self.store_slow = now + ms,
+            Trouble::LateWrites { ms } => self.late_writes = now + ms,
+            Trouble::CloudOutage { ms } => self.cloud_out = now + ms,
+            Trouble::LateBoots { ms } => self.late_boots = now + ms,
+            Trouble::PeersRefuse { ms } => self.peers_refuse = now + ms,
+            Trouble::SouthAlone { ms } => self.south_alone = now + ms,
+            Trouble::LateCopies { ms } => self.copies = now + ms,
+            Trouble::HeldCommands { ms } => self.held_commands = now + ms,
+            Trouble::CancelAtEnd { ms } => self.cancel_at_end = now + ms,
+            Trouble::OddRequests { ms } => self.odd_requests = now + ms,
+            other => unreachable!("{other:?} is of a controller or of machines"),
+        }
+    }
+
+    fn trouble_of_controller(&mut self, node: usize, trouble: Trouble) {
+        let (index, now) = (self.pick_node(node), self.now);
+        let node = &mut self.nodes[index];
+        match trouble {
+            Trouble::Crash { .. } => self.crash(index, 4_000),
+            Trouble::Blink { .. } => {
+                let pause = self.rng.random_range(50..900);
+                self.crash(index, pause);
+            }
+            Trouble::Freeze { ms, .. } => {
+                node.frozen_until = now + ms;
+                node.last_inputs = 3;
+            }
+            Trouble::CutFromStore { ms, .. } => node.store_cut = now + ms,
+            Trouble::CutFromPeers { ms, .. } => node.peer_cut = now + ms,
+            Trouble::CutFromWorkers { ms, .. } => node.worker_cut = now + ms,
+            Trouble::CutFromAllButWorkers { ms, .. } => {
+                node.store_cut = now + ms;
+                node.peer_cut = now + ms;
+            }
+            Trouble::Refused { ms, .. } => node.refused = now + ms,
+            Trouble::ReadsLost { ms, .. } => node.reads_lost = now + ms,
+            other => unreachable!("{other:?} is not of a controller"),
+        }
+    }
+
+    /// Of a machine drawn from those that are up.
+    fn trouble_of_machine(&mut self, trouble: Trouble) {
+        let now = self.now;
+        let Some(worker) = self.pick_worker() else {
+            return;
+        };
+        match trouble {
+            Trouble::MachineCut { ms } => worker.cut_until = now + ms,
+            Trouble::MachineDeaf { ms } => worker.deaf_until = now + ms,
+            Trouble::MachineMute { ms } => worker.mute_until = now + ms,
+            Trouble::MachineHangs { ms } => {
+                let name = worker.name.clone();
+                self.hang(&name, ms);
             }
-            Trouble::MachineSick => {
-                if let Some(worker) = self.pick_worker() {
-                    worker.sick_until = u64::MAX;
-                }
+            Trouble::MachineTaken => worker.spot_reclaim_at = Some(now + 500),
+            Trouble::MachineSick => worker.sick_until = u64::MAX,
+            Trouble::MachineBlinks => {
+                let (name, mut effects) = (worker.name.clone(), Vec::new());
+                worker.next_session(now, &mut effects);
+                self.take_effects(&name, effects);
             }
+            other => unreachable!("{other:?} is not of a machine"),
         }
     }
 
--- a/tests/rules/world/machines.rs
+++ b/tests/rules/world/machines.rs
@@ -69,10 +69,7 @@
                 worker.node = to.unwrap_or((worker.node + 1) % nodes);
                 worker.next_report = now + if to.is_some() { 100 } else { 1_000 };
             }
-            _ => {
-                worker.node = (worker.node + 1) % nodes;
-                worker.next_report = now + 1_000;
-            }
+            _ => worker.try_next_controller(now, nodes),
         }
         self.take_effects(machine, effects);
     }
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -68,33 +68,7 @@
                 },
                 None => StoreReply::Missing,
             },
-            StoreRequest::List { prefix, after } => {
-                let mut items = Vec::new();
-                let mut more = false;
-                for (key, (value, version, _)) in self.entries.range(prefix.clone()..) {
-                    if !key.starts_with(prefix.as_str()) {
-                        break;
-                    }
-                    if key <= after {
-                        continue;
-                    }
-                    // Small pages, so that reading in pages is exercised.
-                    if items.len() == 7 {
-                        more = true;
-                        break;
-                    }
-                    items.push(Entry {
-                        key: key.clone(),
-                        value: value.clone(),
-                        version: *version,
-                    });
-                }
-                StoreReply::Page(Page {
-                    items,
-                    more,
-                    revision: self.revision,
-                })
-            }
+            StoreRequest::List { prefix, after } => self.list(prefix, after),
             StoreRequest::Transact(transaction) => self.transact(transaction),
             StoreRequest::Grant { ttl_ms } => {
                 self.next_lease += 1;
@@ -108,27 +82,62 @@
                 }
                 None => StoreReply::LeaseGone,
             },
-            StoreRequest::Watch { prefix, since, .. } => {
-                let events = self.log.iter().filter(|event| event.version > *since);
-                let events = events.filter(|event| {
-                    let key = event.put.as_ref().or(event.delete.as_ref());
-                    key.is_some_and(|key| key.starts_with(prefix.as_str()))
-                });
-                StoreReply::Log(Log {
-                    revision: self.revision,
-                    events: events.cloned().collect(),
-                })
+            StoreRequest::Watch { prefix, since, .. } => self.changes_since(prefix, *since),
+        }
+    }
+
+    fn list(&self, prefix: &str, after: &str) -> StoreReply {
+        let mut items = Vec::new();
+        let mut more = false;
+        for (key, (value, version, _)) in self.entries.range(prefix.to_string()..) {
+            if !key.starts_with(prefix) {
+                break;
+            }
+            if key.as_str() <= after {
+                continue;
+            }
+            // Small pages, so that reading in pages is exercised.
+            if items.len() == 7 {
+                more = true;
+                break;
             }
+            items.push(Entry {
+                key: key.clone(),
+                value: value.clone(),
+                version: *version,
+            });
         }
+        StoreReply::Page(Page {
+            items,
+            more,
+            revision: self.revision,
+        })
     }
 
-    fn transact(&mut self, transaction: &Transaction) -> StoreReply {
+    fn changes_since(&self, prefix: &str, since: u64) -> StoreReply {
+        let events = self.log.iter().filter(|event| event.version > since);
+        let events = events.filter(|event| {
+            let key = event.put.as_ref().or(event.delete.as_ref());
+            key.is_some_and(|key| key.starts_with(prefix))
+        });
+        StoreReply::Log(Log {
+            revision: self.revision,
+            events: events.cloned().collect(),
+        })
+    }
+
+    /// The protocol's limits on the size of a transaction.
+    fn check_size(transaction: &Transaction) {
         assert!(
             transaction.changes.len() <= 48 && transaction.conditions.len() <= 192,
             "a transaction is too large"
         );
         let bytes = serde_json::to_vec(transaction).expect("json").len();
         assert!(bytes <= 64 * 1024, "a transaction of {bytes} bytes");
+    }
+
+    fn transact(&mut self, transaction: &Transaction) -> StoreReply {
+        Store::check_size(transaction);
         for change in &transaction.changes {
             if let Change::Put { value, lease, .. } = change {
                 assert!(
--- a/tests/rules/world/user_answers.rs
+++ b/tests/rules/world/user_answers.rs
@@ -43,6 +43,18 @@
         if given < job.told_at && told != job.told {
             return;
         }
+        self.check_told(index, told);
+        let job = &mut self.jobs[index];
+        if job.told != told {
+            job.told = told;
+            job.told_at = now;
+        }
+    }
+
+    /// An end is not taken back, none comes unasked, and all tasks of a finished job are done.
+    fn check_told(&mut self, index: usize, told: Told) {
+        let (now, job) = (self.now, &self.jobs[index]);
+        let id = &job.spec.id;
         let ended = matches!(job.told, Told::Done | Told::Cancelled);
         if (ended && told != job.told) || (told == Told::Cancelled && !job.cancel_asked) {
             self.broken
@@ -57,10 +69,6 @@
                     .push(format!("not_done: {id} lacks {missing} tasks at {now}"));
             }
         }
-        if job.told != told {
-            job.told = told;
-            job.told_at = now;
-        }
     }
 
     /// Called off at the moment at which its last task ends.
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -131,31 +131,38 @@
 
     /// A user does what is next: submit, poll, cancel.
     pub(super) fn user(&mut self, index: usize) {
-        let job = &self.jobs[index];
-        let (kind, user_request) = match job.told {
-            Told::Nothing => (
-                World::SUBMIT,
-                UserRequest::Submit(serde_json::to_string(&job.spec).expect("json")),
-            ),
-            Told::Accepted if job.cancel_at.is_some_and(|at| self.now >= at) => {
-                (World::CANCEL, UserRequest::Cancel(job.spec.id.clone()))
-            }
-            _ => (World::POLL, UserRequest::Show(job.spec.id.clone())),
-        };
-        if kind == World::CANCEL {
-            self.jobs[index].cancel_asked = true;
+        let (kind, user_request) = self.next_request_of_user(index);
+        let node = self.connect_user(index);
+        if self.now < self.alone_until(node)
+            || self.nodes[node].controller.is_none()
+            || self.now < self.nodes[node].frozen_until
+        {
+            return;
+        }
+        let request = self.expect(node, Waiting::User { job: index, kind });
+        self.step(node, Input::User { request, user_request });
+    }
+
+    fn next_request_of_user(&mut self, index: usize) -> (u8, UserRequest) {
+        let job = &mut self.jobs[index];
+        let id = job.spec.id.clone();
+        if job.told == Told::Nothing {
+            let body = serde_json::to_string(&job.spec).expect("json");
+            return (World::SUBMIT, UserRequest::Submit(body));
+        }
+        if job.told == Told::Accepted && job.cancel_at.is_some_and(|at| self.now >= at) {
+            job.cancel_asked = true;
+            return (World::CANCEL, UserRequest::Cancel(id));
         }
         // Now and then somebody asks about a job that nobody submitted.
-        let user_request = if kind == World::POLL && self.rng.random_bool(0.05) {
-            UserRequest::Show(format!("j-9{index:05}"))
-        } else {
-            user_request
-        };
-        let kind = if matches!(&user_request, UserRequest::Show(id) if id.starts_with("j-9")) {
-            World::UNKNOWN
-        } else {
-            kind
-        };
+        if self.rng.random_bool(0.05) {
+            return (World::UNKNOWN, UserRequest::Show(format!("j-9{index:05}")));
+        }
+        (World::POLL, UserRequest::Show(id))
+    }
+
+    /// The controller that the load balancer connects a user to.
+    fn connect_user(&mut self, index: usize) -> usize {
         // The load balancer knows only which controllers say that they are well.
         let healthy: Vec<usize> = (0..self.nodes.len()).filter(|&node| self.nodes[node].healthy).collect();
         // Open connections stay where they are while their controller is well.
@@ -166,13 +173,6 @@
         };
         // Some users open a new one each time.
         self.jobs[index].node = index.is_multiple_of(2).then_some(node);
-        if self.now < self.alone_until(node)
-            || self.nodes[node].controller.is_none()
-            || self.now < self.nodes[node].frozen_until
-        {
-            return;
-        }
-        let request = self.expect(node, Waiting::User { job: index, kind });
-        self.step(node, Input::User { request, user_request });
+        node
     }
 }
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -180,52 +180,13 @@
     fn execute(&mut self, now: u64, commands: &[Command], run_ms: impl Fn(&str) -> u64, effects: &mut Vec<Effect>) {
         for command in commands {
             match command {
-                Command::Start { task, attempt } => {
-                    if let Some(running) = self.tasks.get(task) {
-                        if running.attempt != *attempt && running.state != TaskState::Exited {
-                            continue;
-                        }
-                        if running.attempt == *attempt {
-                            continue;
-                        }
-                    }
-                    let running = Running {
-                        attempt: *attempt,
-                        state: TaskState::Fetching,
-                        exit_reason: None,
-                        until: now + 800,
-                        run_ms: run_ms(task),
-                    };
-                    self.tasks.insert(task.clone(), running);
-                }
-                Command::Stop { task, attempt, grace_s } => {
-                    if let Some(running) = self.tasks.get_mut(task)
-                        && running.attempt == *attempt
-                        && running.state != TaskState::Exited
-                    {
-                        // Only a job that saves is given time for it.
-                        if *grace_s > 0.0 {
-                            if running.state == TaskState::Running {
-                                running.state = TaskState::Saving;
-                                running.until = now + (grace_s * 1_000.0) as u64;
-                            }
-                            continue;
-                        }
-                        if matches!(running.state, TaskState::Running | TaskState::Saving) {
-                            effects.push(Effect::Left {
-                                task: task.clone(),
-                                done: false,
-                            });
-                        }
-                        running.exit(ExitReason::Stopped);
-                        self.next_report = self.next_report.min(now + 200);
-                    }
-                }
+                Command::Start { task, attempt } => self.start(now, task, *attempt, run_ms(task)),
+                Command::Stop { task, attempt, grace_s } => self.stop(now, task, *attempt, *grace_s, effects),
                 Command::Forget { task, attempt } => {
                     let over = self
                         .tasks
                         .get(task)
-                        .is_some_and(|r| r.attempt == *attempt && r.state == TaskState::Exited);
+                        .is_some_and(|running| running.attempt == *attempt && running.state == TaskState::Exited);
                     if over {
                         self.tasks.remove(task);
                     }
@@ -233,4 +194,46 @@
             }
         }
     }
+
+    fn start(&mut self, now: u64, task: &str, attempt: u64, run_ms: u64) {
+        // Another attempt replaces a task only after its end.
+        let here = self.tasks.get(task);
+        if here.is_some_and(|running| running.attempt == attempt || running.state != TaskState::Exited) {
+            return;
+        }
+        let running = Running {
+            attempt,
+            state: TaskState::Fetching,
+            exit_reason: None,
+            until: now + 800,
+            run_ms,
+        };
+        self.tasks.insert(task.into(), running);
+    }
+
+    fn stop(&mut self, now: u64, task: &str, attempt: u64, grace_s: f64, effects: &mut Vec<Effect>) {
+        let open = self
+            .tasks
+            .get_mut(task)
+            .filter(|running| running.attempt == attempt && running.state != TaskState::Exited);
+        let Some(running) = open else {
+            return;
+        };
+        // Only a job that saves is given time for it.
+        if grace_s > 0.0 {
+            if running.state == TaskState::Running {
+                running.state = TaskState::Saving;
+                running.until = now + (grace_s * 1_000.0) as u64;
+            }
+            return;
+        }
+        if matches!(running.state, TaskState::Running | TaskState::Saving) {
+            effects.push(Effect::Left {
+                task: task.into(),
+                done: false,
+            });
+        }
+        running.exit(ExitReason::Stopped);
+        self.next_report = self.next_report.min(now + 200);
+    }
 }
