--- a/benches/site/mod.rs
+++ b/benches/costs/site/mod.rs
@@ -1,5 +1,7 @@
 //! A controller at the size of a grown deployment, with a store that answers at once.
 
+mod state_service;
+
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use sumacbend::Now;
@@ -7,10 +9,8 @@
 use sumacbend::peers::Message;
 use sumacbend::policy::Policy;
 use sumacbend::settings::Settings;
-use sumacbend::store::{JobKey, Keys, StoreReply, StoreRequest};
-use sumacbend::wire::{
-    Catalogue, Change, Entry, JobSpec, Log, MachineType, Page, Report, TaskReport, TaskState, Transaction,
-};
+use sumacbend::store::{JobKey, Keys};
+use sumacbend::wire::{Catalogue, JobSpec, MachineType, Report, TaskReport, TaskState};
 
 pub const MACHINES: usize = 2_000;
 pub const JOBS: usize = 400;
@@ -22,7 +22,7 @@
 /// The claim makes it the first term.
 pub const TERM: u64 = 1;
 
-const SETTINGS: &str = include_str!("settings.toml");
+const SETTINGS: &str = include_str!("../../../tests/support/fleet_settings.toml");
 
 pub fn settings() -> Settings {
     Settings::parse(SETTINGS).expect("valid settings")
@@ -204,60 +204,6 @@
         }
         rest
     }
-
-    fn answer(&mut self, request: &StoreRequest) -> Option<StoreReply> {
-        Some(match request {
-            StoreRequest::Grant { .. } => StoreReply::Granted { lease: 1 },
-            StoreRequest::Renew(_) => StoreReply::Renewed,
-            StoreRequest::Get(key) => {
-                self.entries
-                    .get(key)
-                    .map_or(StoreReply::Missing, |(value, version)| StoreReply::Found {
-                        value: value.clone(),
-                        version: *version,
-                    })
-            }
-            StoreRequest::List { prefix, after } => {
-                let items = self.entries.range(prefix.clone()..);
-                let items = items.take_while(|(key, _)| key.starts_with(prefix));
-                let items = items
-                    .filter(|(key, _)| *key > after)
-                    .map(|(key, (value, version))| Entry {
-                        key: key.clone(),
-                        value: value.clone(),
-                        version: *version,
-                    });
-                StoreReply::Page(Page {
-                    items: items.collect(),
-                    more: false,
-                    revision: self.revision,
-                })
-            }
-            StoreRequest::Transact(transaction) => self.transact(transaction),
-            StoreRequest::Watch { wait_ms: 0, .. } => StoreReply::Log(Log {
-                revision: self.revision,
-                events: Vec::new(),
-            }),
-            StoreRequest::Watch { .. } => return None,
-        })
-    }
-
-    fn transact(&mut self, transaction: &Transaction) -> StoreReply {
-        self.revision += 1;
-        for change in &transaction.changes {
-            match change {
-                Change::Put { put, value, .. } => {
-                    self.entries.insert(put.clone(), (value.clone(), self.revision));
-                }
-                Change::Delete { delete } => {
-                    self.entries.remove(delete);
-                }
-            }
-        }
-        StoreReply::Committed {
-            revision: self.revision,
-        }
-    }
 }
 
 pub fn peer(message: Message) -> Input {
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -20,7 +20,7 @@
 /// The allocator counts for the whole process, so tests take turns.
 static TURN: Mutex<()> = Mutex::new(());
 
-const SETTINGS: &str = include_str!("../benches/site/settings.toml");
+const SETTINGS: &str = include_str!("support/fleet_settings.toml");
 
 /// Enough of each kind for the growth of tables to even out.
 const MACHINES: usize = 4_096;
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -159,7 +159,14 @@
             return StoreReply::Conflict { failed };
         }
         self.revision += 1;
-        for change in &transaction.changes {
+        self.apply(&transaction.changes);
+        StoreReply::Committed {
+            revision: self.revision,
+        }
+    }
+
+    fn apply(&mut self, changes: &[Change]) {
+        for change in changes {
             match change {
                 Change::Put { put, value, lease } => {
                     self.entries.insert(put.clone(), (value.clone(), self.revision, *lease));
@@ -173,8 +180,5 @@
                 Change::Delete { delete } => self.delete(delete),
             }
         }
-        StoreReply::Committed {
-            revision: self.revision,
-        }
     }
 }
--- a/tests/rules/world/user_answers.rs
+++ b/tests/rules/world/user_answers.rs
@@ -6,18 +6,8 @@
     pub(super) fn user_answered(&mut self, index: usize, kind: u8, given: u64, answer: &Answer) {
         let now = self.now;
         let id = self.jobs[index].spec.id.clone();
-        if kind == World::UNKNOWN {
-            if answer.status == 200 {
-                self.broken.push(format!("invented: {}", answer.body));
-            }
-            return;
-        }
-        if kind == World::ODD {
-            // It can't run or lacks a field.
-            if !matches!(answer.status, 400 | 422 | 429 | 503) {
-                self.broken
-                    .push(format!("accepted: {}, {}", answer.status, answer.body));
-            }
+        if matches!(kind, World::UNKNOWN | World::ODD) {
+            self.check_refused(kind, answer);
             return;
         }
         let job = &mut self.jobs[index];
@@ -51,6 +41,17 @@
         }
     }
 
+    /// No job is known that nobody submitted, and none is accepted that can't run or lacks a field.
+    fn check_refused(&mut self, kind: u8, answer: &Answer) {
+        if kind == World::UNKNOWN && answer.status == 200 {
+            self.broken.push(format!("invented: {}", answer.body));
+        }
+        if kind == World::ODD && !matches!(answer.status, 400 | 422 | 429 | 503) {
+            self.broken
+                .push(format!("accepted: {}, {}", answer.status, answer.body));
+        }
+    }
+
     /// An end is not taken back, none comes unasked, and all tasks of a finished job are done.
     fn check_told(&mut self, index: usize, told: Told) {
         let (now, job) = (self.now, &self.jobs[index]);
