--- a/tests/rules/fleet_at_size.rs
+++ b/tests/rules/fleet_at_size.rs
@@ -2,7 +2,7 @@
 //! of the state service, and outages cost no machines.
 
 use crate::LEADER;
-use crate::world::{Told, Trouble, World};
+use crate::world::{Fault, Told, World};
 
 /// Jobs of large tasks for both teams, one after the other.
 fn submit_large(world: &mut World, jobs: u64, tasks: u32, every_ms: u64) {
@@ -23,7 +23,7 @@
     let mut world = World::at_size(8, 5, Vec::new());
     submit_large(&mut world, 20, 300, 100);
     world.run(60_000);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     let (machines, seconds) = (world.machines(), 60);
     assert!(machines > 1_800, "{machines} machines");
     let sent = &world.sent;
@@ -43,7 +43,7 @@
         "{sent:?}, {starts} starts"
     );
     world.run(150_000);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     assert!(world.jobs.iter().all(|job| job.told == Told::Done));
 }
 
@@ -52,26 +52,26 @@
 /// cut off, and the leader stands still.
 #[test]
 fn a_large_fleet_lives_through_restarts_a_zone_cut_and_a_freeze() {
-    let crash = |at| (0..5).map(move |node| (at, Trouble::Crash { node }));
-    let mut troubles = vec![
-        (40_000, Trouble::StoreOutage { ms: 12_000 }),
-        (60_000, Trouble::ZoneCut { ms: 50_000 }),
+    let crash = |at| (0..5).map(move |node| (at, Fault::Crash { node }));
+    let mut faults = vec![
+        (40_000, Fault::StoreOutage { ms: 12_000 }),
+        (60_000, Fault::ZoneCut { ms: 50_000 }),
         (
             130_000,
-            Trouble::Freeze {
+            Fault::Freeze {
                 node: LEADER,
                 ms: 30_000,
             },
         ),
     ];
-    troubles.extend(crash(48_000).chain(crash(54_500)));
-    let mut world = World::at_size(11, 5, troubles);
+    faults.extend(crash(48_000).chain(crash(54_500)));
+    let mut world = World::at_size(11, 5, faults);
     submit_large(&mut world, 26, 300, 3_000);
     world.run(35_000);
     let machines = world.machines();
     assert!(machines > 1_000, "{machines} machines");
     world.run(330_000);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     let open = world.jobs.iter().filter(|job| job.told != Told::Done).count();
     assert_eq!(open, 0);
     // The service's limits hold in every phase, all controllers together.
@@ -84,19 +84,19 @@
 /// next one ends.
 #[test]
 fn more_than_four_thousand_machines_report_at_once_after_an_outage_and_a_crash() {
-    let troubles = vec![
-        (60_000, Trouble::StoreOutage { ms: 15_000 }),
-        (66_000, Trouble::Crash { node: LEADER }),
-        (100_000, Trouble::Crash { node: LEADER }),
+    let faults = vec![
+        (60_000, Fault::StoreOutage { ms: 15_000 }),
+        (66_000, Fault::Crash { node: LEADER }),
+        (100_000, Fault::Crash { node: LEADER }),
     ];
-    let mut world = World::of_size(14, 5, 2_200, troubles);
+    let mut world = World::of_size(14, 5, 2_200, faults);
     world.run_times = 20;
     submit_large(&mut world, 18, 320, 200);
     world.run(59_000);
     let machines = world.machines();
     assert!(machines > 4_200, "{machines} machines");
     world.run(400_000);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     let open = world.jobs.iter().filter(|job| job.told != Told::Done).count();
     assert_eq!(open, 0);
     assert_eq!(world.lost_tasks, 0, "no lease ran out");
@@ -109,13 +109,13 @@
 /// ends that was longer than the workers' leases: no controller could hear them.
 #[test]
 fn an_outage_longer_than_the_leases_costs_no_machines() {
-    let mut world = World::at_size(12, 3, vec![(40_000, Trouble::StoreOutage { ms: 60_000 })]);
+    let mut world = World::at_size(12, 3, vec![(40_000, Fault::StoreOutage { ms: 60_000 })]);
     submit_large(&mut world, 8, 3_000, 100);
     world.run(39_000);
     let before = world.machine_names();
     assert!(before.len() > 300, "{} machines", before.len());
     world.run(115_000);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     let after = world.machine_names();
     let lost = before.difference(&after).count();
     assert!(lost * 20 < before.len(), "{lost} of {} lost", before.len());
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -2,9 +2,9 @@
 //! cluster. Every run uses the same seeds.
 
 mod fleet_at_size;
-mod guests;
 mod meetings;
-mod reports;
+mod mistaken_jobs_and_backfill;
+mod rule_checks;
 mod scheduling;
 mod single_faults;
 mod takeover_from_stored_state;
@@ -12,27 +12,27 @@
 
 use rand::Rng;
 use rand::rngs::StdRng;
-use world::{Told, Trouble, World};
+use world::{Fault, Told, World};
 
-/// Whoever leads the shard when the trouble begins.
+/// Whoever leads the shard when the fault begins.
 const LEADER: usize = 9;
 
-fn check(seed: u64, troubles: Vec<(u64, Trouble)>) {
-    check_with(seed, 3, troubles);
+fn check(seed: u64, faults: Vec<(u64, Fault)>) {
+    check_with(seed, 3, faults);
 }
 
-fn check_with(seed: u64, nodes: usize, troubles: Vec<(u64, Trouble)>) {
-    play(World::new(seed, nodes, 24, troubles.clone()), seed, &troubles);
+fn check_with(seed: u64, nodes: usize, faults: Vec<(u64, Fault)>) {
+    run_to_completion(World::new(seed, nodes, 24, faults.clone()), seed, &faults);
 }
 
-/// To the end of all troubles and well beyond: no rule broken, no job left over.
-fn play(mut world: World, seed: u64, troubles: &[(u64, Trouble)]) -> World {
-    world.run(world.calm_at.max(100_000) + 200_000 * world.run_times.min(3));
+/// To the end of all faults and well beyond: no rule broken, no job left over.
+fn run_to_completion(mut world: World, seed: u64, faults: &[(u64, Fault)]) -> World {
+    world.run(world.faults_end_at.max(100_000) + 200_000 * world.run_times.min(3));
     world.check_largest();
     assert!(
-        world.broken.is_empty(),
-        "seed {seed}: {:?}\n{troubles:#?}",
-        world.broken
+        world.violations.is_empty(),
+        "seed {seed}: {:?}\n{faults:#?}",
+        world.violations
     );
     let open: Vec<_> = world
         .jobs
@@ -40,12 +40,12 @@
         .filter(|job| !matches!(job.told, Told::Done | Told::Cancelled))
         .collect();
     let open: Vec<_> = open.iter().map(|job| (&job.spec.id, job.told)).collect();
-    assert!(open.is_empty(), "seed {seed}: never finished {open:?}\n{troubles:#?}");
+    assert!(open.is_empty(), "seed {seed}: never finished {open:?}\n{faults:#?}");
     assert!(world.starts > 0);
     world
 }
 
-fn draw(rng: &mut StdRng, nodes: usize) -> Trouble {
+fn draw_fault(rng: &mut StdRng, nodes: usize) -> Fault {
     let node = if rng.random_bool(0.5) {
         LEADER
     } else {
@@ -53,25 +53,25 @@
     };
     let ms = rng.random_range(2_000..45_000);
     match rng.random_range(0..19) {
-        0 | 1 => Trouble::Crash { node },
-        2 => Trouble::CutFromStore { node, ms },
-        3 => Trouble::CutFromPeers { node, ms },
-        4 => Trouble::CutFromWorkers { node, ms },
-        5 => Trouble::StoreOutage { ms: ms / 2 },
-        6 => Trouble::CloudOutage { ms },
-        7 => Trouble::MachineCut { ms },
-        8 => Trouble::MachineDeaf { ms },
-        9 => Trouble::LateCopies { ms },
-        10 => Trouble::CutFromAllButWorkers { node, ms },
-        11 | 12 => Trouble::Blink { node },
-        13 => Trouble::PeersRefuse { ms },
-        14 => Trouble::StoreSlow { ms },
-        15 | 16 => Trouble::Freeze { node, ms },
-        17 => Trouble::ZoneCut { ms: ms * 2 },
+        0 | 1 => Fault::Crash { node },
+        2 => Fault::CutFromStore { node, ms },
+        3 => Fault::CutFromPeers { node, ms },
+        4 => Fault::CutFromWorkers { node, ms },
+        5 => Fault::StoreOutage { ms: ms / 2 },
+        6 => Fault::CloudOutage { ms },
+        7 => Fault::MachineCut { ms },
+        8 => Fault::MachineReceivesNothing { ms },
+        9 => Fault::DelayedDuplicateReports { ms },
+        10 => Fault::CutFromAllButWorkers { node, ms },
+        11 | 12 => Fault::QuickRestart { node },
+        13 => Fault::PeersRefuse { ms },
+        14 => Fault::StoreSlow { ms },
+        15 | 16 => Fault::Freeze { node, ms },
+        17 => Fault::ZoneCut { ms: ms * 2 },
         _ => match rng.random_range(0..3) {
-            0 => Trouble::MachineTaken,
-            1 => Trouble::MachineSick,
-            _ => Trouble::MachineBlinks,
+            0 => Fault::MachineReclaimed,
+            1 => Fault::MachineFailsTasks,
+            _ => Fault::AgentRestarts,
         },
     }
 }
--- a/tests/rules/meetings/cancellations.rs
+++ b/tests/rules/meetings/cancellations.rs
@@ -1,34 +1,34 @@
 //! Users cancel, repeat requests or send invalid ones while other faults happen.
 
-use super::{meet, pick};
+use super::{pick, run_meeting};
 use crate::LEADER;
-use crate::world::{CANCEL_MS, LEASE_MS, Trouble};
+use crate::world::{CANCEL_MS, Fault, LEASE_MS};
 use rand::Rng;
 
 /// A leader keeps only its workers and users while jobs are cancelled through
 /// the new one.
 #[test]
 fn a_leader_cut_from_all_but_workers_and_users_while_jobs_are_cancelled() {
-    meet(10, |rng| {
+    run_meeting(10, |rng| {
         let at = rng.random_range(35_000..60_000);
         let ms = pick(rng, &[6_000, LEASE_MS, CANCEL_MS + 20_000]);
-        let mut troubles = vec![(at, Trouble::CutFromAllButWorkers { node: LEADER, ms })];
+        let mut faults = vec![(at, Fault::CutFromAllButWorkers { node: LEADER, ms })];
         for _ in 0..3 {
             let hang_ms = pick(rng, &[0, 9_000, LEASE_MS]);
-            troubles.push((at + rng.random_range(0..12_000), Trouble::CancelNow { hang_ms }));
+            faults.push((at + rng.random_range(0..12_000), Fault::CancelNow { hang_ms }));
         }
-        troubles.push((at + ms, Trouble::CutFromAllButWorkers { node: LEADER, ms }));
-        troubles
+        faults.push((at + ms, Fault::CutFromAllButWorkers { node: LEADER, ms }));
+        faults
     });
 }
 
 /// A cancellation, a question or a repeat meets the end of a job's last task.
 #[test]
 fn cancellations_and_repeats_meet_the_end_of_a_job() {
-    meet(1, |_| {
+    run_meeting(1, |_| {
         vec![
-            (5_000, Trouble::CancelAtEnd { ms: 150_000 }),
-            (5_000, Trouble::OddRequests { ms: 150_000 }),
+            (5_000, Fault::CancelAtEnd { ms: 150_000 }),
+            (5_000, Fault::InvalidRequests { ms: 150_000 }),
         ]
     });
 }
@@ -37,19 +37,22 @@
 /// whatever else goes on.
 #[test]
 fn odd_requests_in_mid_election() {
-    meet(2, |rng| {
-        let mut troubles = vec![
-            (3_000, Trouble::OddRequests { ms: 120_000 }),
-            (20_000, Trouble::LateWrites { ms: 80_000 }),
-            (30_000, Trouble::CancelAtEnd { ms: 80_000 }),
+    run_meeting(2, |rng| {
+        let mut faults = vec![
+            (3_000, Fault::InvalidRequests { ms: 120_000 }),
+            (20_000, Fault::DelayedTransactions { ms: 80_000 }),
+            (30_000, Fault::CancelAtEnd { ms: 80_000 }),
         ];
         for step in 0..6 {
             let at = 15_000 + step * 14_000 + rng.random_range(0..5_000);
-            troubles.push((at, Trouble::Crash { node: LEADER }));
+            faults.push((at, Fault::Crash { node: LEADER }));
             let node = rng.random_range(0..3);
-            troubles.push((at + rng.random_range(50..4_000), Trouble::Refused { node, ms: 3_000 }));
+            faults.push((
+                at + rng.random_range(50..4_000),
+                Fault::StoreRefuses { node, ms: 3_000 },
+            ));
         }
-        troubles
+        faults
     });
 }
 
@@ -57,18 +60,18 @@
 /// that it hears of no cancellation: its workers' leases must not live on.
 #[test]
 fn a_leader_whose_reads_are_lost_while_jobs_are_cancelled() {
-    let played = meet(15, |rng| {
+    let played = run_meeting(15, |rng| {
         let at = rng.random_range(30_000..50_000);
         let ms = CANCEL_MS + rng.random_range(10_000..30_000);
         vec![
-            (at, Trouble::ReadsLost { node: LEADER, ms }),
+            (at, Fault::ReadsLost { node: LEADER, ms }),
             (
                 at + 500,
-                Trouble::CancelNow {
+                Fault::CancelNow {
                     hang_ms: pick(rng, &[0, 10_000]),
                 },
             ),
-            (at + rng.random_range(1_000..20_000), Trouble::CancelNow { hang_ms: 0 }),
+            (at + rng.random_range(1_000..20_000), Fault::CancelNow { hang_ms: 0 }),
         ]
     });
     // The watch cache's age, the lease of the claim, a take-over, a round of reports.
--- a/tests/rules/meetings/mod.rs
+++ b/tests/rules/meetings/mod.rs
@@ -3,33 +3,33 @@
 //! `MEETING_SEEDS=0..400 cargo test --release --test rules meetings` runs more.
 
 mod cancellations;
-mod drawn_faults;
 mod leader_changes;
+mod random_faults;
 mod state_service_outages;
 mod unreachable_machines;
 
-use crate::play;
-use crate::world::{Trouble, World};
+use crate::run_to_completion;
+use crate::world::{Fault, World};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-type Troubles = Vec<(u64, Trouble)>;
+type Faults = Vec<(u64, Fault)>;
 
-/// Plays a meeting with seeds of its own, with 3 to 7 controllers, and tasks up
-/// to `run_times` times as long as usual.
-fn meet(run_times: u64, troubles: impl Fn(&mut StdRng) -> Troubles) -> Vec<World> {
-    meet_again(&[], run_times, troubles)
+/// Runs the faults that are drawn from each seed, with 3 to 7 controllers and tasks up to
+/// `run_times` times as long as usual.
+fn run_meeting(run_times: u64, faults: impl Fn(&mut StdRng) -> Faults) -> Vec<World> {
+    run_meeting_with_seeds(&[], run_times, faults)
 }
 
-/// Also with the seeds that once found a fault.
-fn meet_again(found: &[u64], run_times: u64, troubles: impl Fn(&mut StdRng) -> Troubles) -> Vec<World> {
+/// Also with the seeds that once found a defect.
+fn run_meeting_with_seeds(found: &[u64], run_times: u64, faults: impl Fn(&mut StdRng) -> Faults) -> Vec<World> {
     let played = seeds(found).into_iter().map(|seed| {
         let mut rng = StdRng::seed_from_u64(7_000 + seed);
-        let troubles = troubles(&mut rng);
+        let faults = faults(&mut rng);
         let nodes = [3, 5, 7][seed as usize % 3];
-        let mut world = World::new(seed, nodes, 24, troubles.clone());
+        let mut world = World::new(seed, nodes, 24, faults.clone());
         world.run_times = if seed % 2 == 0 { run_times } else { 1 };
-        play(world, seed, &troubles)
+        run_to_completion(world, seed, &faults)
     });
     played.collect()
 }
--- a/tests/rules/meetings/state_service_outages.rs
+++ b/tests/rules/meetings/state_service_outages.rs
@@ -1,8 +1,8 @@
 //! The state service refuses requests, is slow, or is out, while other faults happen.
 
-use super::{meet, pick, seeds};
+use super::{pick, run_meeting, seeds};
 use crate::LEADER;
-use crate::world::{CANCEL_MS, LEASE_MS, Trouble, World};
+use crate::world::{CANCEL_MS, Fault, LEASE_MS, World};
 use rand::Rng;
 
 /// The state service refuses the leader alone, jobs are cancelled through
@@ -11,36 +11,36 @@
 /// outage; machines of the cancelled jobs hang or can't be reached; the old
 /// leader, another or a restarted one leads the shard afterwards.
 #[test]
-fn the_gap() {
-    meet(12, |rng| {
+fn cancelled_jobs_stop_when_the_store_refuses_the_leader_and_then_is_out() {
+    run_meeting(12, |rng| {
         let at = rng.random_range(40_000..60_000);
         let outage = pick(rng, &[8_000, LEASE_MS - 3_000, LEASE_MS + 8_000, CANCEL_MS + 12_000]);
         let starts = at + rng.random_range(300..3_000);
-        let refused = pick(rng, &[1_000, outage / 2, outage + 1_000, outage + 12_000]);
-        let mut troubles = vec![
+        let refused_ms = pick(rng, &[1_000, outage / 2, outage + 1_000, outage + 12_000]);
+        let mut faults = vec![
             (
                 at,
-                Trouble::Refused {
+                Fault::StoreRefuses {
                     node: LEADER,
-                    ms: refused,
+                    ms: refused_ms,
                 },
             ),
             (
                 at + rng.random_range(0..starts - at),
-                Trouble::CancelNow {
+                Fault::CancelNow {
                     hang_ms: pick(rng, &[0, 0, 12_000, LEASE_MS]),
                 },
             ),
-            (starts, Trouble::StoreOutage { ms: outage }),
+            (starts, Fault::StoreOutage { ms: outage }),
         ];
         match rng.random_range(0..5) {
-            0 => troubles.push((at, Trouble::MachineCut { ms: outage })),
-            1 => troubles.push((at, Trouble::ZoneCut { ms: outage })),
-            2 => troubles.push((starts + outage - 500, Trouble::Blink { node: LEADER })),
-            3 => troubles.extend((0..3).map(|node| (starts + 2_000, Trouble::Crash { node }))),
+            0 => faults.push((at, Fault::MachineCut { ms: outage })),
+            1 => faults.push((at, Fault::ZoneCut { ms: outage })),
+            2 => faults.push((starts + outage - 500, Fault::QuickRestart { node: LEADER })),
+            3 => faults.extend((0..3).map(|node| (starts + 2_000, Fault::Crash { node }))),
             _ => {}
         }
-        troubles
+        faults
     });
 }
 
@@ -48,29 +48,29 @@
 /// the workers' leases alive while their leader does not see the cancellation.
 #[test]
 fn refusals_and_short_outages_in_turn() {
-    meet(12, |rng| {
-        let mut troubles = Vec::new();
+    run_meeting(12, |rng| {
+        let mut faults = Vec::new();
         let mut at = 40_000;
         for _ in 0..4 {
             let outage = rng.random_range(8_000..LEASE_MS - 2_000);
-            let refused = rng.random_range(800..4_000);
-            troubles.push((
+            let refused_ms = rng.random_range(800..4_000);
+            faults.push((
                 at,
-                Trouble::Refused {
+                Fault::StoreRefuses {
                     node: LEADER,
-                    ms: refused,
+                    ms: refused_ms,
                 },
             ));
-            troubles.push((
+            faults.push((
                 at + 300,
-                Trouble::CancelNow {
+                Fault::CancelNow {
                     hang_ms: pick(rng, &[0, 10_000]),
                 },
             ));
-            troubles.push((at + rng.random_range(400..1_500), Trouble::StoreOutage { ms: outage }));
+            faults.push((at + rng.random_range(400..1_500), Fault::StoreOutage { ms: outage }));
             at += outage + rng.random_range(1_500..5_000);
         }
-        troubles
+        faults
     });
 }
 
@@ -78,29 +78,29 @@
 /// everybody, while users cancel and ask.
 #[test]
 fn a_slow_state_service_while_users_cancel() {
-    meet(10, |rng| {
+    run_meeting(10, |rng| {
         let at = rng.random_range(30_000..50_000);
         vec![
-            (at, Trouble::StoreSlow { ms: 40_000 }),
+            (at, Fault::StoreSlow { ms: 40_000 }),
             (
                 at + 2_000,
-                Trouble::CancelNow {
+                Fault::CancelNow {
                     hang_ms: pick(rng, &[0, 15_000]),
                 },
             ),
             (
                 at + 9_000,
-                Trouble::Refused {
+                Fault::StoreRefuses {
                     node: LEADER,
                     ms: rng.random_range(1_000..20_000),
                 },
             ),
-            (at + 9_200, Trouble::CancelNow { hang_ms: 0 }),
+            (at + 9_200, Fault::CancelNow { hang_ms: 0 }),
             (
                 at + rng.random_range(10_000..14_000),
-                Trouble::StoreOutage { ms: CANCEL_MS + 5_000 },
+                Fault::StoreOutage { ms: CANCEL_MS + 5_000 },
             ),
-            (at + 70_000, Trouble::LateWrites { ms: 15_000 }),
+            (at + 70_000, Fault::DelayedTransactions { ms: 15_000 }),
         ]
     });
 }
@@ -108,22 +108,22 @@
 /// Transactions are carried out late, after newer ones of the same controller.
 #[test]
 fn transactions_are_carried_out_late() {
-    meet(3, |rng| {
-        let mut troubles = vec![(5_000, Trouble::LateWrites { ms: 120_000 })];
+    run_meeting(3, |rng| {
+        let mut faults = vec![(5_000, Fault::DelayedTransactions { ms: 120_000 })];
         for _ in 0..4 {
             let node = LEADER;
             let at = rng.random_range(15_000..110_000);
-            troubles.push((
+            faults.push((
                 at,
                 match rng.random_range(0..4) {
-                    0 => Trouble::Blink { node },
-                    1 => Trouble::Refused { node, ms: 6_000 },
-                    2 => Trouble::MachineTaken,
-                    _ => Trouble::CancelNow { hang_ms: 0 },
+                    0 => Fault::QuickRestart { node },
+                    1 => Fault::StoreRefuses { node, ms: 6_000 },
+                    2 => Fault::MachineReclaimed,
+                    _ => Fault::CancelNow { hang_ms: 0 },
                 },
             ));
         }
-        troubles
+        faults
     });
 }
 
@@ -132,14 +132,14 @@
 #[test]
 fn what_runs_goes_on_through_a_long_outage() {
     for seed in seeds(&[]) {
-        let outage = vec![(45_000, Trouble::StoreOutage { ms: 60_000 })];
+        let outage = vec![(45_000, Fault::StoreOutage { ms: 60_000 })];
         let mut world = World::new(seed, 5, 24, outage);
         world.run_times = 12;
         // Past what was being stopped for others when it began.
         world.run(49_000);
         let before = world.lost_tasks;
         world.run(104_500);
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
         let lost = world.lost_tasks - before;
         assert!(lost <= 2, "seed {seed}: {lost} tasks lost");
     }
@@ -149,29 +149,32 @@
 /// it might be the one that confirms cancellations.
 #[test]
 fn a_leader_without_all_promises_stops() {
-    meet(12, |rng| {
+    run_meeting(12, |rng| {
         let at = rng.random_range(40_000..55_000);
         let ms = CANCEL_MS + rng.random_range(5_000..20_000);
         let other = rng.random_range(0..3);
         vec![
-            (at, Trouble::Refused { node: LEADER, ms }),
+            (at, Fault::StoreRefuses { node: LEADER, ms }),
             (
                 at + 200,
-                Trouble::CancelNow {
+                Fault::CancelNow {
                     hang_ms: pick(rng, &[0, 12_000]),
                 },
             ),
-            (at + 1_500, Trouble::StoreOutage { ms }),
+            (at + 1_500, Fault::StoreOutage { ms }),
             (
                 at + rng.random_range(0..9_000),
                 match rng.random_range(0..4) {
-                    0 => Trouble::Blink { node: other },
-                    1 => Trouble::CutFromPeers { node: other, ms },
-                    2 => Trouble::Freeze { node: other, ms: 9_000 },
-                    _ => Trouble::PeersRefuse { ms: 8_000 },
+                    0 => Fault::QuickRestart { node: other },
+                    1 => Fault::CutFromPeers { node: other, ms },
+                    2 => Fault::Freeze { node: other, ms: 9_000 },
+                    _ => Fault::PeersRefuse { ms: 8_000 },
                 },
             ),
-            (at + rng.random_range(0..20_000), Trouble::Refused { node: other, ms }),
+            (
+                at + rng.random_range(0..20_000),
+                Fault::StoreRefuses { node: other, ms },
+            ),
         ]
     });
 }
--- a/tests/rules/guests.rs
+++ b/tests/rules/mistaken_jobs_and_backfill.rs
@@ -1,8 +1,8 @@
 //! What the operators' on-call staff met: backfill of a guest team beside urgent
 //! work, jobs submitted with a mistake, and machines that boot late or never.
 
-use crate::world::{Told, Trouble, World};
-use crate::{LEADER, draw, play};
+use crate::world::{Fault, Told, World};
+use crate::{LEADER, draw_fault, run_to_completion};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use sumacbend::wire::{JobSpec, Priority};
@@ -34,21 +34,21 @@
 /// inc-a48c, inc-7b1f).
 #[test]
 fn urgent_jobs_begin_soon_beside_backfill_that_fills_all_machines() {
-    for (seed, troubles) in [
+    for (seed, faults) in [
         (1, Vec::new()),
-        (2, vec![(62_000, Trouble::Crash { node: LEADER })]),
+        (2, vec![(62_000, Fault::Crash { node: LEADER })]),
         (
             3,
             vec![(
                 59_500,
-                Trouble::CutFromPeers {
+                Fault::CutFromPeers {
                     node: LEADER,
                     ms: 15_000,
                 },
             )],
         ),
     ] {
-        let mut world = World::new(seed, 3, 0, troubles);
+        let mut world = World::new(seed, 3, 0, faults);
         // Tasks run for up to five minutes, and each machine holds one or two.
         world.run_times = 30;
         for _ in 0..3 {
@@ -60,7 +60,7 @@
             .map(|index| world.submit(60_000 + index * 500, urgent(1)))
             .collect();
         world.run(100_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
         for index in urgent {
             let job = &world.jobs[index];
             let begun = job.first_start.map(|at| at - job.submit_at);
@@ -76,12 +76,15 @@
 /// machines on which they fail are not given up, and the others' jobs get done.
 #[test]
 fn mistaken_jobs_fail_alone_until_their_users_cancel_them() {
-    for (seed, troubles) in [
+    for (seed, faults) in [
         (4, Vec::new()),
-        (5, vec![(30_000, Trouble::Crash { node: LEADER })]),
-        (6, vec![(25_000, Trouble::MachineSick), (40_000, Trouble::MachineSick)]),
+        (5, vec![(30_000, Fault::Crash { node: LEADER })]),
+        (
+            6,
+            vec![(25_000, Fault::MachineFailsTasks), (40_000, Fault::MachineFailsTasks)],
+        ),
     ] {
-        let mut world = World::new(seed, 3, 24, troubles.clone());
+        let mut world = World::new(seed, 3, 24, faults.clone());
         let spec = |team: &str, tasks| JobSpec {
             team: team.into(),
             ..urgent(tasks)
@@ -90,7 +93,7 @@
             let team = if index % 2 == 0 { "red" } else { "blue" };
             world.submit_mistaken(5_000 + index * 700, 90_000, spec(team, 8));
         }
-        let world = play(world, seed, &troubles);
+        let world = run_to_completion(world, seed, &faults);
         let cancelled = world.jobs.iter().filter(|job| job.told == Told::Cancelled).count();
         assert!(cancelled >= 10, "seed {seed}: {cancelled} cancelled");
         // Alone and ever more rarely: ten jobs of eight tasks for 85 s.
@@ -100,22 +103,22 @@
     }
 }
 
-/// Late and failed boots, mistaken jobs and backfill beside any other troubles.
+/// Late and failed boots, mistaken jobs and backfill beside any other faults.
 #[test]
-fn drawn_troubles_with_late_boots_mistaken_jobs_and_backfill() {
+fn random_faults_with_slow_boots_mistaken_jobs_and_backfill() {
     for seed in 0..30 {
         let mut rng = StdRng::seed_from_u64(7_000 + seed);
         let nodes = [3, 5, 7][seed as usize % 3];
-        let mut troubles: Vec<_> = (0..rng.random_range(2..6))
-            .map(|_| (rng.random_range(5_000..110_000), draw(&mut rng, nodes)))
+        let mut faults: Vec<_> = (0..rng.random_range(2..6))
+            .map(|_| (rng.random_range(5_000..110_000), draw_fault(&mut rng, nodes)))
             .collect();
-        troubles.push((
+        faults.push((
             rng.random_range(0..60_000),
-            Trouble::LateBoots {
+            Fault::SlowBoots {
                 ms: rng.random_range(20_000..100_000),
             },
         ));
-        let mut world = World::new(seed, nodes, 16, troubles.clone());
+        let mut world = World::new(seed, nodes, 16, faults.clone());
         for _ in 0..rng.random_range(0..5) {
             let at = rng.random_range(2_000..60_000);
             world.submit_mistaken(at, at + rng.random_range(1_000..80_000), urgent(6));
@@ -124,6 +127,6 @@
             let at = rng.random_range(2_000..60_000);
             world.submit(at, backfill(6));
         }
-        play(world, seed, &troubles);
+        run_to_completion(world, seed, &faults);
     }
 }
--- a/tests/rules/reports.rs
+++ b/tests/rules/rule_checks.rs
@@ -1,6 +1,6 @@
 //! The checks themselves: each reports a fault that is put in on purpose.
 
-use crate::world::{CANCEL_MS, Told, World};
+use crate::world::{CANCEL_MS, RequestKind, Told, World};
 
 /// A world without controllers in which one job is known to its user.
 fn accepted(tasks: u32) -> World {
@@ -14,17 +14,17 @@
     world
 }
 
-fn broken(world: &World, rule: &str) -> bool {
-    world.broken.iter().any(|fault| fault.starts_with(rule))
+fn violates(world: &World, rule: &str) -> bool {
+    world.violations.iter().any(|fault| fault.starts_with(rule))
 }
 
 #[test]
 fn a_task_on_two_machines_is_reported() {
     let mut world = accepted(1);
     world.begins("host-0", "j-000000/0");
-    assert!(world.broken.is_empty());
+    assert!(world.violations.is_empty());
     world.begins("host-1", "j-000000/0");
-    assert!(broken(&world, "ran_twice"));
+    assert!(violates(&world, "ran_twice"));
 }
 
 #[test]
@@ -33,9 +33,9 @@
     for task in 0..24 {
         world.begins("host-0", &format!("j-000000/{task}"));
     }
-    assert!(world.broken.is_empty());
+    assert!(world.violations.is_empty());
     world.begins("host-0", "j-000000/24");
-    assert!(broken(&world, "quota"));
+    assert!(violates(&world, "quota"));
 }
 
 #[test]
@@ -43,9 +43,9 @@
     let mut world = accepted(2);
     world.jobs[0].spec.one_zone = true;
     world.begins("host-0", "j-000000/0");
-    assert!(world.broken.is_empty());
+    assert!(world.violations.is_empty());
     world.begins("host-1", "j-000000/1");
-    assert!(broken(&world, "wrong_place"));
+    assert!(violates(&world, "wrong_place"));
 }
 
 /// Also while its machine hangs: it would go on.
@@ -60,10 +60,10 @@
         world.tell(0, Told::Cancelled);
         world.now += CANCEL_MS;
         world.check_cancelled();
-        assert!(world.broken.is_empty());
+        assert!(world.violations.is_empty());
         world.now += 1;
         world.check_cancelled();
-        assert!(broken(&world, "ran_cancelled"));
+        assert!(violates(&world, "ran_cancelled"));
         assert_eq!(world.longest_cancelled, CANCEL_MS + 1);
     }
 }
@@ -74,10 +74,10 @@
     world.tell(0, Told::Cancelled);
     world.begins("host-0", "j-000000/0");
     assert_eq!(world.starts_after_cancel, 1);
-    assert!(world.broken.is_empty());
+    assert!(world.violations.is_empty());
     world.now += CANCEL_MS + 1;
     world.begins("host-0", "j-000000/1");
-    assert!(broken(&world, "ran_cancelled"));
+    assert!(violates(&world, "ran_cancelled"));
 }
 
 #[test]
@@ -85,18 +85,18 @@
     let mut world = accepted(1);
     world.now += 75_000;
     world.check_known();
-    assert!(world.broken.is_empty());
+    assert!(world.violations.is_empty());
     world.now += 1;
     world.check_known();
-    assert!(broken(&world, "forgotten"));
+    assert!(violates(&world, "forgotten"));
 }
 
-/// Before troubles are over: while most others are answered, and only then.
+/// Before faults are over: while most others are answered, and only then.
 #[test]
 fn a_job_that_alone_is_not_answered_is_reported() {
     for alone in [true, false] {
         let mut world = accepted(1);
-        world.calm_at = u64::MAX / 2;
+        world.faults_end_at = u64::MAX / 2;
         for _ in 0..2 {
             let other = world.submit(0, World::plain_spec());
             world.tell(other, Told::Accepted);
@@ -109,7 +109,7 @@
             }
             world.check_known();
         }
-        assert_eq!(broken(&world, "forgotten"), alone, "{:?}", world.broken);
+        assert_eq!(violates(&world, "forgotten"), alone, "{:?}", world.violations);
     }
 }
 
@@ -120,10 +120,10 @@
     world.check_waiting();
     world.now += 90_000;
     world.check_waiting();
-    assert!(world.broken.is_empty());
+    assert!(world.violations.is_empty());
     world.now += 1;
     world.check_waiting();
-    assert!(broken(&world, "waiting"));
+    assert!(violates(&world, "waiting"));
     // Not where the team is at its limit, or nothing fits.
     for (cpus, zone) in [(25.0, None), (1.0, Some("east".to_string()))] {
         let mut world = accepted(2);
@@ -133,7 +133,7 @@
             world.now += 91_000;
             world.check_waiting();
         }
-        assert!(world.broken.is_empty(), "{:?}", world.broken);
+        assert!(world.violations.is_empty(), "{:?}", world.violations);
     }
 }
 
@@ -141,11 +141,11 @@
 fn a_largest_job_that_begins_late_is_reported() {
     let mut world = accepted(9);
     world.check_largest();
-    assert!(broken(&world, "late"));
+    assert!(violates(&world, "late"));
     let mut world = accepted(9);
     world.begins("host-0", "j-000000/0");
     world.check_largest();
-    assert!(world.broken.is_empty());
+    assert!(world.violations.is_empty());
 }
 
 /// What controllers answer: a job that can't run taken, a job nobody submitted
@@ -154,16 +154,16 @@
 fn wrong_answers_are_reported() {
     let state = |state: &str| format!("{{\"id\":\"j-000000\",\"standing\":\"{state}\"}}");
     for (kind, status, body, rule) in [
-        (World::ODD, 201, state("queued"), "accepted"),
-        (World::UNKNOWN, 200, state("running"), "invented"),
-        (World::POLL, 200, state("aborted"), "went_back"),
-        (World::POLL, 200, state("done"), "not_done"),
-        (World::POLL, 404, String::new(), "forgotten"),
-        (World::SUBMIT, 422, String::new(), "forgotten"),
+        (RequestKind::Invalid, 201, state("queued"), "accepted"),
+        (RequestKind::Unknown, 200, state("running"), "invented"),
+        (RequestKind::Poll, 200, state("aborted"), "went_back"),
+        (RequestKind::Poll, 200, state("done"), "not_done"),
+        (RequestKind::Poll, 404, String::new(), "forgotten"),
+        (RequestKind::Submit, 422, String::new(), "forgotten"),
     ] {
         let mut world = accepted(1);
         world.now += 10;
         world.is_answered(0, kind, status, &body);
-        assert!(broken(&world, rule), "{rule}: {:?}", world.broken);
+        assert!(violates(&world, rule), "{rule}: {:?}", world.violations);
     }
 }
--- a/tests/rules/scheduling.rs
+++ b/tests/rules/scheduling.rs
@@ -1,17 +1,17 @@
 //! The largest job that the protocol allows, and fairness among jobs of one team.
 
 use crate::LEADER;
-use crate::world::{Told, Trouble, World};
+use crate::world::{Fault, Told, World};
 use sumacbend::wire::Priority;
 
 /// The stand-in fails on values and transactions beyond the protocol's limits,
 /// so this shows that the largest job stays within them.
 #[test]
 fn the_largest_job_is_scheduled_and_cleaned_up() {
-    let mut world = World::new(6, 3, 1, vec![(120_000, Trouble::Crash { node: LEADER })]);
+    let mut world = World::new(6, 3, 1, vec![(120_000, Fault::Crash { node: LEADER })]);
     world.reshape(0, 100_000, Some(190_000));
     world.run(190_000);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     assert!(
         world.done_tasks.len() > 100,
         "only {} tasks done",
@@ -19,7 +19,7 @@
     );
     assert!(world.stored("kept/pool/firing/") > 0);
     world.run(300_000);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     assert_eq!(world.jobs[0].told, Told::Cancelled);
     assert_eq!(world.stored("kept/pool/firing/") + world.stored("live/pool/job/"), 0);
     assert_eq!(world.stored("kept/pool/end/"), 1);
@@ -46,7 +46,7 @@
         .map(|index| world.submit(10_000 + index * 30_000, spec("red", Priority::Low, 12, 8.0)))
         .collect();
     world.run(520_000);
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     for index in large.iter().copied() {
         let job = &world.jobs[index];
         let begun = job.first_start.map(|at| at - job.submit_at);
--- a/tests/rules/takeover_from_stored_state.rs
+++ b/tests/rules/takeover_from_stored_state.rs
@@ -99,7 +99,7 @@
         let mut world = world_left_behind(seed);
         let before: BTreeSet<String> = world.done_tasks.clone();
         world.run(120_000);
-        assert!(world.broken.is_empty(), "seed {seed}: {:?}", world.broken);
+        assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
 
         for task in &before {
             assert!(!world.ever_started(task), "seed {seed}: {task} was done and ran again");
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -6,14 +6,14 @@
     pub(super) fn started(&mut self, machine: &str, task: &str) {
         self.starts += 1;
         let now = self.now;
-        let on = self.on.entry(task.into()).or_default();
+        let on = self.task_machines.entry(task.into()).or_default();
         if !on.is_empty() {
-            self.broken
+            self.violations
                 .push(format!("ran_twice: {task} on {machine} and {on:?} at {now}"));
         }
         on.insert(machine.into());
         let Some(index) = self.job_of(task) else {
-            self.broken.push(format!("a task of no job: {task}"));
+            self.violations.push(format!("a task of no job: {task}"));
             return;
         };
         let job = &self.jobs[index];
@@ -24,7 +24,7 @@
             self.starts_after_cancel += 1;
         }
         if job.told == Told::Cancelled && now > job.told_at + CANCEL_MS {
-            self.broken.push(format!("ran_cancelled: {task} started at {now}"));
+            self.violations.push(format!("ran_cancelled: {task} started at {now}"));
         }
         let job = &mut self.jobs[index];
         job.first_start.get_or_insert(now);
@@ -40,7 +40,7 @@
         let allowed = spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone) && (spec.spot || !worker.spot);
         let prefix = format!("{}/", spec.id);
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        for (_, machines) in self.on.iter().filter(|(task, _)| task.starts_with(&prefix)) {
+        for (_, machines) in self.task_machines.iter().filter(|(task, _)| task.starts_with(&prefix)) {
             for machine in machines {
                 *zones.entry(self.workers[machine].zone.as_str()).or_default() += 1;
             }
@@ -48,7 +48,7 @@
         let one_zone = !spec.one_zone || zones.len() <= 1;
         let spread = !spec.spread || zones.values().all(|&count| count <= spec.tasks.div_ceil(2));
         if !allowed || !one_zone || !spread {
-            self.broken
+            self.violations
                 .push(format!("wrong_place: {task} on {machine}, {zones:?} at {now}"));
         }
     }
@@ -58,7 +58,7 @@
         let now = self.now;
         for team in ["red", "blue"] {
             let used: f64 = self
-                .on
+                .task_machines
                 .iter()
                 .filter(|(_, machines)| !machines.is_empty())
                 .filter_map(|(task, machines)| {
@@ -67,12 +67,12 @@
                 })
                 .sum();
             if used > self.team_cpus + 1e-6 {
-                self.broken.push(format!("quota: {team} uses {used} at {now}"));
+                self.violations.push(format!("quota: {team} uses {used} at {now}"));
             }
         }
     }
 
-    /// Once troubles are over, no accepted job goes 75 s without an answer, and
+    /// Once faults are over, no accepted job goes 75 s without an answer, and
     /// at no time one 90 s while most others get theirs.
     pub fn check_known(&mut self) {
         let now = self.now;
@@ -89,8 +89,8 @@
         }
         for job in known {
             let singled_out = most && now > job.answered_at.max(since) + 90_000;
-            if singled_out || now > job.answered_at.max(self.calm_at) + KNOWN_MS {
-                self.broken
+            if singled_out || now > job.answered_at.max(self.faults_end_at) + KNOWN_MS {
+                self.violations
                     .push(format!("forgotten: nothing said of {} at {now}", job.spec.id));
             }
         }
@@ -99,7 +99,7 @@
     /// Nothing of a cancelled job is on a machine beyond `cancel_s`, also where
     /// it hangs or can't be reached.
     pub fn check_cancelled(&mut self) {
-        for (task, machines) in self.on.iter().filter(|(_, machines)| !machines.is_empty()) {
+        for (task, machines) in self.task_machines.iter().filter(|(_, machines)| !machines.is_empty()) {
             let job = self.job_of(task).map(|index| &self.jobs[index]);
             let Some(job) = job.filter(|job| job.told == Told::Cancelled) else {
                 continue;
@@ -107,13 +107,13 @@
             let after = self.now - job.told_at;
             self.longest_cancelled = self.longest_cancelled.max(after);
             if after > CANCEL_MS {
-                self.broken
+                self.violations
                     .push(format!("ran_cancelled: {task} on {machines:?} at {}", self.now));
             }
         }
     }
 
-    /// Once troubles are over, no job with tasks to start waits for 90 s, without a
+    /// Once faults are over, no job with tasks to start waits for 90 s, without a
     /// start of any, while a machine that fits has room and its team is under its
     /// limit.
     pub fn check_waiting(&mut self) {
@@ -121,7 +121,7 @@
             let job = &self.jobs[index];
             let waits = job.told == Told::Accepted
                 && job.cancel_at.is_none_or(|at| self.now < at)
-                && self.now > self.calm_at
+                && self.now > self.faults_end_at
                 && self.waits_beside_room(job);
             let job = &mut self.jobs[index];
             if !waits {
@@ -131,7 +131,7 @@
             let since = *job.waits_since.get_or_insert(self.now);
             if self.now > since + WAITING_MS {
                 let id = job.spec.id.clone();
-                self.broken
+                self.violations
                     .push(format!("waiting: {id} since {since}, at {}", self.now));
             }
         }
@@ -194,7 +194,7 @@
         specs.filter(|spec| spec.team == team).map(|spec| spec.cpus).sum()
     }
 
-    /// The largest jobs have to begin within four minutes, troubles aside.
+    /// The largest jobs have to begin within four minutes, faults aside.
     pub fn check_largest(&mut self) {
         for team in ["red", "blue"] {
             let of_team = self
@@ -204,10 +204,10 @@
             let Some(largest) = of_team.max_by_key(|job| (job.spec.tasks, job.spec.id.clone())) else {
                 continue;
             };
-            let from = largest.submit_at.max(self.calm_at);
+            let from = largest.submit_at.max(self.faults_end_at);
             if largest.first_start.is_none_or(|at| at > from + LARGEST_MS) {
                 let id = &largest.spec.id;
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "late: {id}, the largest of {team}, began at {:?}",
                     largest.first_start
                 ));
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -38,10 +38,10 @@
             up_at: self.now + boot,
             gone: false,
             cut_until: 0,
-            deaf_until: 0,
-            mute_until: 0,
+            receives_nothing_until: 0,
+            reaches_no_controller_until: 0,
             hung_until: 0,
-            sick_until: 0,
+            fails_tasks_until: 0,
             agent_epoch: 1,
             seq: 0,
             fencing_token: 0,
@@ -55,7 +55,7 @@
     }
 
     pub(super) fn cloud_call(&mut self, request: &CloudRequest) -> CloudReply {
-        if self.now < self.cloud_out {
+        if self.now < self.ongoing.cloud_out_until {
             return CloudReply::Unavailable;
         }
         match request {
@@ -107,7 +107,7 @@
 
     /// How long a machine takes to boot; some never come up.
     fn draw_boot_ms(&mut self) -> u64 {
-        let late = self.now < self.late_boots;
+        let late = self.now < self.ongoing.slow_boots_until;
         if self.rng.random_bool(if late { 0.3 } else { 0.05 }) {
             10_000_000
         } else if late {
--- a/tests/rules/world/direct_commands.rs
+++ b/tests/rules/world/direct_commands.rs
@@ -13,10 +13,10 @@
             .workers
             .get(&machine)
             .map_or(0, Worker::unreachable_until)
-            .max(self.nodes[caller.node].worker_cut)
+            .max(self.nodes[caller.node].worker_cut_until)
             .max(self.apart_from(caller.node, &machine));
         let held = self.now < cut;
-        if !held && self.now < self.held_commands && self.rng.random_bool(0.5) {
+        if !held && self.now < self.ongoing.held_commands_until && self.rng.random_bool(0.5) {
             self.hold_command(caller, machine, commands);
             return;
         }
@@ -29,7 +29,7 @@
         } else {
             delay
         };
-        let arrival = Happening::Direct {
+        let arrival = ScheduledEvent::Direct {
             caller,
             machine,
             commands,
@@ -46,7 +46,7 @@
         } else {
             self.rng.random_range(1_000..9_000)
         };
-        let arrival = Happening::Direct {
+        let arrival = ScheduledEvent::Direct {
             caller,
             machine,
             commands,
@@ -65,7 +65,7 @@
         let input = Input::Worker { call, reply };
         self.at(
             self.now + after_ms,
-            Happening::Input {
+            ScheduledEvent::Input {
                 node,
                 incarnation,
                 input,
--- a/tests/rules/world/fault_kinds.rs
+++ b/tests/rules/world/fault.rs
@@ -1,8 +1,8 @@
 //! The faults that can be injected, and how long each lasts.
 
-/// A trouble, from a time on and for a while.
+/// A fault, from a time on and for a while.
 #[derive(Clone, Debug)]
-pub enum Trouble {
+pub enum Fault {
     Crash {
         node: usize,
     },
@@ -31,16 +31,16 @@
     ZoneCut {
         ms: u64,
     },
-    MachineTaken,
-    MachineSick,
+    MachineReclaimed,
+    MachineFailsTasks,
     /// Its reports arrive; answers and commands don't reach it.
-    MachineDeaf {
+    MachineReceivesNothing {
         ms: u64,
     },
     /// Back at once, its tasks gone, in its next agent epoch.
-    MachineBlinks,
+    AgentRestarts,
     /// Copies of reports come seconds to several leases late.
-    LateCopies {
+    DelayedDuplicateReports {
         ms: u64,
     },
     /// Cut from the state service and the other controllers, not from workers.
@@ -49,7 +49,7 @@
         ms: u64,
     },
     /// Back within a fraction of a second.
-    Blink {
+    QuickRestart {
         node: usize,
     },
     /// Stands still while its clocks run on; what it had worked out just before
@@ -62,7 +62,7 @@
         ms: u64,
     },
     /// Refused by the state service alone; its open watches wait.
-    Refused {
+    StoreRefuses {
         node: usize,
         ms: u64,
     },
@@ -72,16 +72,16 @@
         ms: u64,
     },
     /// All machines fail what they run.
-    AllSick {
+    AllMachinesFailTasks {
         ms: u64,
     },
     /// A third of the transactions get no answer and are carried out seconds
     /// later, after newer ones.
-    LateWrites {
+    DelayedTransactions {
         ms: u64,
     },
     /// Reaches no controller, while direct commands reach it.
-    MachineMute {
+    MachineReachesNoController {
         ms: u64,
     },
     /// Executes nothing and answers nothing, and goes on within its lease.
@@ -89,7 +89,7 @@
         ms: u64,
     },
     /// Direct commands, or their answers, are held up for seconds.
-    HeldCommands {
+    DelayedCommands {
         ms: u64,
     },
     /// Users call off all that runs at once; the machines of some hang then.
@@ -101,57 +101,57 @@
         ms: u64,
     },
     /// All controllers are gone for this long.
-    AllAway {
+    AllControllersDown {
         ms: u64,
     },
     /// The south is cut off, with its machines and one controller.
-    SouthAlone {
+    SouthIsolated {
         ms: u64,
     },
     /// Users repeat submissions, cancel what is done, and send jobs that can't
     /// run or lack a field.
-    OddRequests {
+    InvalidRequests {
         ms: u64,
     },
     StoreSlow {
         ms: u64,
     },
     /// New machines take several boot times, and a third never come up.
-    LateBoots {
+    SlowBoots {
         ms: u64,
     },
 }
 
-impl Trouble {
+impl Fault {
     /// Until all of it is over, late messages included.
     pub(super) fn lasts(&self) -> u64 {
         match self {
-            Trouble::CutFromStore { ms, .. }
-            | Trouble::CutFromPeers { ms, .. }
-            | Trouble::CutFromWorkers { ms, .. }
-            | Trouble::CutFromAllButWorkers { ms, .. }
-            | Trouble::Freeze { ms, .. }
-            | Trouble::StoreOutage { ms }
-            | Trouble::CloudOutage { ms }
-            | Trouble::MachineCut { ms }
-            | Trouble::ZoneCut { ms }
-            | Trouble::MachineDeaf { ms }
-            | Trouble::LateCopies { ms }
-            | Trouble::PeersRefuse { ms }
-            | Trouble::Refused { ms, .. }
-            | Trouble::ReadsLost { ms, .. }
-            | Trouble::AllSick { ms }
-            | Trouble::MachineMute { ms }
-            | Trouble::MachineHangs { ms }
-            | Trouble::CancelAtEnd { ms }
-            | Trouble::AllAway { ms }
-            | Trouble::SouthAlone { ms }
-            | Trouble::OddRequests { ms }
-            | Trouble::StoreSlow { ms } => *ms,
+            Fault::CutFromStore { ms, .. }
+            | Fault::CutFromPeers { ms, .. }
+            | Fault::CutFromWorkers { ms, .. }
+            | Fault::CutFromAllButWorkers { ms, .. }
+            | Fault::Freeze { ms, .. }
+            | Fault::StoreOutage { ms }
+            | Fault::CloudOutage { ms }
+            | Fault::MachineCut { ms }
+            | Fault::ZoneCut { ms }
+            | Fault::MachineReceivesNothing { ms }
+            | Fault::DelayedDuplicateReports { ms }
+            | Fault::PeersRefuse { ms }
+            | Fault::StoreRefuses { ms, .. }
+            | Fault::ReadsLost { ms, .. }
+            | Fault::AllMachinesFailTasks { ms }
+            | Fault::MachineReachesNoController { ms }
+            | Fault::MachineHangs { ms }
+            | Fault::CancelAtEnd { ms }
+            | Fault::AllControllersDown { ms }
+            | Fault::SouthIsolated { ms }
+            | Fault::InvalidRequests { ms }
+            | Fault::StoreSlow { ms } => *ms,
             // The last of them is up, or given up, by then.
-            Trouble::LateBoots { ms } => ms + 40_000,
-            Trouble::LateWrites { ms } | Trouble::HeldCommands { ms } => ms + 12_000,
-            Trouble::CancelNow { hang_ms } => *hang_ms,
+            Fault::SlowBoots { ms } => ms + 40_000,
+            Fault::DelayedTransactions { ms } | Fault::DelayedCommands { ms } => ms + 12_000,
+            Fault::CancelNow { hang_ms } => *hang_ms,
             _ => 5_000,
         }
     }
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/fault_injection.rs
@@ -3,106 +3,106 @@
 use super::*;
 
 impl World {
-    pub(super) fn trouble(&mut self, trouble: Trouble) {
-        match trouble {
-            Trouble::Crash { node }
-            | Trouble::Blink { node }
-            | Trouble::Freeze { node, .. }
-            | Trouble::CutFromStore { node, .. }
-            | Trouble::CutFromPeers { node, .. }
-            | Trouble::CutFromWorkers { node, .. }
-            | Trouble::CutFromAllButWorkers { node, .. }
-            | Trouble::Refused { node, .. }
-            | Trouble::ReadsLost { node, .. } => self.trouble_of_controller(node, trouble),
-            Trouble::MachineCut { .. }
-            | Trouble::MachineDeaf { .. }
-            | Trouble::MachineMute { .. }
-            | Trouble::MachineHangs { .. }
-            | Trouble::MachineTaken
-            | Trouble::MachineSick
-            | Trouble::MachineBlinks => self.trouble_of_machine(trouble),
-            Trouble::AllAway { ms } => {
+    pub(super) fn inject_fault(&mut self, fault: Fault) {
+        match fault {
+            Fault::Crash { node }
+            | Fault::QuickRestart { node }
+            | Fault::Freeze { node, .. }
+            | Fault::CutFromStore { node, .. }
+            | Fault::CutFromPeers { node, .. }
+            | Fault::CutFromWorkers { node, .. }
+            | Fault::CutFromAllButWorkers { node, .. }
+            | Fault::StoreRefuses { node, .. }
+            | Fault::ReadsLost { node, .. } => self.inject_controller_fault(node, fault),
+            Fault::MachineCut { .. }
+            | Fault::MachineReceivesNothing { .. }
+            | Fault::MachineReachesNoController { .. }
+            | Fault::MachineHangs { .. }
+            | Fault::MachineReclaimed
+            | Fault::MachineFailsTasks
+            | Fault::AgentRestarts => self.inject_machine_fault(fault),
+            Fault::AllControllersDown { ms } => {
                 for node in 0..self.nodes.len() {
                     self.crash(node, ms);
                 }
             }
-            Trouble::AllSick { ms } => {
+            Fault::AllMachinesFailTasks { ms } => {
                 for worker in self.workers.values_mut() {
-                    worker.sick_until = self.now + ms;
+                    worker.fails_tasks_until = self.now + ms;
                 }
             }
-            Trouble::ZoneCut { ms } => {
+            Fault::ZoneCut { ms } => {
                 let until = self.now + ms;
                 let south = self.workers.values_mut().filter(|worker| worker.zone == "south");
                 south.for_each(|worker| worker.cut_until = until);
             }
-            Trouble::CancelNow { hang_ms } => self.cancel_now(hang_ms),
-            _ => self.trouble_of_service(trouble),
+            Fault::CancelNow { hang_ms } => self.cancel_now(hang_ms),
+            _ => self.inject_service_fault(fault),
         }
     }
 
     /// Of a service, the network or the users, for a while.
-    fn trouble_of_service(&mut self, trouble: Trouble) {
+    fn inject_service_fault(&mut self, fault: Fault) {
         let now = self.now;
-        match trouble {
-            Trouble::StoreOutage { ms } => self.store_out = now + ms,
-            Trouble::StoreSlow { ms } => self.store_slow = now + ms,
-            Trouble::LateWrites { ms } => self.late_writes = now + ms,
-            Trouble::CloudOutage { ms } => self.cloud_out = now + ms,
-            Trouble::LateBoots { ms } => self.late_boots = now + ms,
-            Trouble::PeersRefuse { ms } => self.peers_refuse = now + ms,
-            Trouble::SouthAlone { ms } => self.south_alone = now + ms,
-            Trouble::LateCopies { ms } => self.copies = now + ms,
-            Trouble::HeldCommands { ms } => self.held_commands = now + ms,
-            Trouble::CancelAtEnd { ms } => self.cancel_at_end = now + ms,
-            Trouble::OddRequests { ms } => self.odd_requests = now + ms,
+        match fault {
+            Fault::StoreOutage { ms } => self.ongoing.store_out_until = now + ms,
+            Fault::StoreSlow { ms } => self.ongoing.store_slow_until = now + ms,
+            Fault::DelayedTransactions { ms } => self.ongoing.late_writes_until = now + ms,
+            Fault::CloudOutage { ms } => self.ongoing.cloud_out_until = now + ms,
+            Fault::SlowBoots { ms } => self.ongoing.slow_boots_until = now + ms,
+            Fault::PeersRefuse { ms } => self.ongoing.peers_refuse_until = now + ms,
+            Fault::SouthIsolated { ms } => self.ongoing.south_isolated_until = now + ms,
+            Fault::DelayedDuplicateReports { ms } => self.ongoing.late_copies_until = now + ms,
+            Fault::DelayedCommands { ms } => self.ongoing.held_commands_until = now + ms,
+            Fault::CancelAtEnd { ms } => self.ongoing.cancel_at_end_until = now + ms,
+            Fault::InvalidRequests { ms } => self.ongoing.invalid_requests_until = now + ms,
             other => unreachable!("{other:?} is of a controller or of machines"),
         }
     }
 
-    fn trouble_of_controller(&mut self, node: usize, trouble: Trouble) {
+    fn inject_controller_fault(&mut self, node: usize, fault: Fault) {
         let (index, now) = (self.pick_node(node), self.now);
         let node = &mut self.nodes[index];
-        match trouble {
-            Trouble::Crash { .. } => self.crash(index, 4_000),
-            Trouble::Blink { .. } => {
+        match fault {
+            Fault::Crash { .. } => self.crash(index, 4_000),
+            Fault::QuickRestart { .. } => {
                 let pause = self.rng.random_range(50..900);
                 self.crash(index, pause);
             }
-            Trouble::Freeze { ms, .. } => {
+            Fault::Freeze { ms, .. } => {
                 node.frozen_until = now + ms;
                 node.last_inputs = 3;
             }
-            Trouble::CutFromStore { ms, .. } => node.store_cut = now + ms,
-            Trouble::CutFromPeers { ms, .. } => node.peer_cut = now + ms,
-            Trouble::CutFromWorkers { ms, .. } => node.worker_cut = now + ms,
-            Trouble::CutFromAllButWorkers { ms, .. } => {
-                node.store_cut = now + ms;
-                node.peer_cut = now + ms;
+            Fault::CutFromStore { ms, .. } => node.store_cut_until = now + ms,
+            Fault::CutFromPeers { ms, .. } => node.peer_cut_until = now + ms,
+            Fault::CutFromWorkers { ms, .. } => node.worker_cut_until = now + ms,
+            Fault::CutFromAllButWorkers { ms, .. } => {
+                node.store_cut_until = now + ms;
+                node.peer_cut_until = now + ms;
             }
-            Trouble::Refused { ms, .. } => node.refused = now + ms,
-            Trouble::ReadsLost { ms, .. } => node.reads_lost = now + ms,
+            Fault::StoreRefuses { ms, .. } => node.refused_until = now + ms,
+            Fault::ReadsLost { ms, .. } => node.reads_lost_until = now + ms,
             other => unreachable!("{other:?} is not of a controller"),
         }
     }
 
     /// Of a machine drawn from those that are up.
-    fn trouble_of_machine(&mut self, trouble: Trouble) {
+    fn inject_machine_fault(&mut self, fault: Fault) {
         let now = self.now;
         let Some(worker) = self.pick_worker() else {
             return;
         };
-        match trouble {
-            Trouble::MachineCut { ms } => worker.cut_until = now + ms,
-            Trouble::MachineDeaf { ms } => worker.deaf_until = now + ms,
-            Trouble::MachineMute { ms } => worker.mute_until = now + ms,
-            Trouble::MachineHangs { ms } => {
+        match fault {
+            Fault::MachineCut { ms } => worker.cut_until = now + ms,
+            Fault::MachineReceivesNothing { ms } => worker.receives_nothing_until = now + ms,
+            Fault::MachineReachesNoController { ms } => worker.reaches_no_controller_until = now + ms,
+            Fault::MachineHangs { ms } => {
                 let name = worker.name.clone();
                 self.hang(&name, ms);
             }
-            Trouble::MachineTaken => worker.spot_reclaim_at = Some(now + 500),
-            Trouble::MachineSick => worker.sick_until = u64::MAX,
-            Trouble::MachineBlinks => {
+            Fault::MachineReclaimed => worker.spot_reclaim_at = Some(now + 500),
+            Fault::MachineFailsTasks => worker.fails_tasks_until = u64::MAX,
+            Fault::AgentRestarts => {
                 let (name, mut effects) = (worker.name.clone(), Vec::new());
                 worker.next_session(now, &mut effects);
                 self.take_effects(&name, effects);
@@ -125,7 +125,7 @@
         self.nodes[node].incarnation = 0;
         self.nodes[node].frozen_until = 0;
         self.nodes[node].healthy = false;
-        self.at(self.now + pause, Happening::Restart(node));
+        self.at(self.now + pause, ScheduledEvent::Restart(node));
     }
 
     pub(super) fn pick_worker(&mut self) -> Option<&mut Worker> {
@@ -159,7 +159,7 @@
     /// What runs is called off, up to eight jobs' machines hang meanwhile.
     fn cancel_now(&mut self, hang_ms: u64) {
         let mut hangs = BTreeSet::new();
-        for (task, machines) in &self.on {
+        for (task, machines) in &self.task_machines {
             let Some(index) = self.job_of(task) else {
                 continue;
             };
@@ -174,7 +174,7 @@
         for index in 0..self.jobs.len() {
             if self.jobs[index].cancel_at == Some(self.now) {
                 let at = self.now + self.rng.random_range(0..200);
-                self.at(at, Happening::UserNow(index));
+                self.at(at, ScheduledEvent::UserNow(index));
             }
         }
         for name in hangs.into_iter().filter(|_| hang_ms > 0) {
--- a/tests/rules/world/heartbeat_reports.rs
+++ b/tests/rules/world/heartbeat_reports.rs
@@ -10,18 +10,18 @@
 
 impl World {
     /// A step of simulated time: health checks, the rules, the state service and the workers.
-    pub(super) fn world(&mut self) {
+    pub(super) fn step_cluster(&mut self) {
         if self.now % 1_000 < 100 {
             self.check_health();
         }
         self.check_known();
         self.check_waiting();
-        self.send_odd_requests();
-        if self.now >= self.store_out && self.store_out > 0 {
-            self.store_out = 0;
+        self.send_invalid_requests();
+        if self.now >= self.ongoing.store_out_until && self.ongoing.store_out_until > 0 {
+            self.ongoing.store_out_until = 0;
             self.store.refresh_leases(self.now);
         }
-        if self.store_out == 0 {
+        if self.ongoing.store_out_until == 0 {
             self.store.expire(self.now);
             self.serve_watches();
         }
@@ -81,7 +81,7 @@
         }
         self.next_report += 1;
         let id = self.next_report;
-        if now < worker.mute_until {
+        if now < worker.reaches_no_controller_until {
             // Refused at once: it tries the next controller.
             worker.try_next_controller(now, nodes);
             return None;
@@ -96,15 +96,15 @@
         let (node, south) = (worker.node, worker.zone == "south");
         let cut = worker
             .cut_until
-            .max(self.nodes[node].worker_cut)
+            .max(self.nodes[node].worker_cut_until)
             .max(self.apart(node, south));
         // Reports may be held back and arrive late.
         let delay = if now < cut { cut - now + 500 } else { self.delay() };
-        if now < self.copies && self.rng.random_bool(0.3) {
+        if now < self.ongoing.late_copies_until && self.rng.random_bool(0.3) {
             let node = self.rng.random_range(0..self.nodes.len());
             let late = self.rng.random_range(1_000..90_000);
             // Nobody waits for its answer.
-            let copy = Happening::ReportArrives {
+            let copy = ScheduledEvent::ReportArrives {
                 node,
                 machine: machine.clone(),
                 report: report.clone(),
@@ -112,7 +112,7 @@
             };
             self.at(now + late, copy);
         }
-        let arrival = Happening::ReportArrives {
+        let arrival = ScheduledEvent::ReportArrives {
             node,
             machine,
             report,
--- a/tests/rules/world/machines.rs
+++ b/tests/rules/world/machines.rs
@@ -8,7 +8,7 @@
             worker.gone = true;
             worker.tasks.clear();
         }
-        for machines in self.on.values_mut() {
+        for machines in self.task_machines.values_mut() {
             machines.remove(name);
         }
     }
@@ -79,7 +79,7 @@
             match effect {
                 Effect::Started { task } => self.started(machine, &task),
                 Effect::Left { task, done } => {
-                    if let Some(machines) = self.on.get_mut(&task) {
+                    if let Some(machines) = self.task_machines.get_mut(&task) {
                         machines.remove(machine);
                     }
                     self.lost_tasks += u64::from(!done);
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -1,17 +1,17 @@
 //! A simulated world for the controllers: stand-ins for the state service, the
 //! cloud, workers and users, a network that delays, loses and holds back, and
-//! seeded troubles. The rules of the protocol are checked at every change.
+//! seeded faults. The rules of the protocol are checked at every change.
 
 mod checks;
 mod cloud;
-mod delivery;
 mod direct_commands;
-mod fault_kinds;
-mod faults;
-mod happening;
+mod event_dispatch;
+mod fault;
+mod fault_injection;
 mod heartbeat_reports;
 mod machines;
 mod network;
+mod scheduled_event;
 mod setup;
 mod state_service;
 mod store;
@@ -20,10 +20,10 @@
 mod users;
 mod worker;
 
-pub use fault_kinds::Trouble;
-pub use users::{Told, UserJob};
+pub use fault::Fault;
+pub use users::{RequestKind, Told, UserJob};
 
-use happening::{Caller, Happening, Waiting};
+use scheduled_event::{Caller, ScheduledEvent, Waiting};
 use state_service::OpenWatch;
 
 use rand::rngs::StdRng;
@@ -53,13 +53,13 @@
     controller: Option<Controller>,
     incarnation: u64,
     name: String,
-    offset: u64,
-    rate: f64,
-    store_cut: u64,
-    peer_cut: u64,
-    worker_cut: u64,
-    refused: u64,
-    reads_lost: u64,
+    clock_offset: u64,
+    clock_rate: f64,
+    store_cut_until: u64,
+    peer_cut_until: u64,
+    worker_cut_until: u64,
+    refused_until: u64,
+    reads_lost_until: u64,
     frozen_until: u64,
     /// Inputs that it still takes before it stands still.
     last_inputs: u32,
@@ -67,25 +67,32 @@
     healthy: bool,
 }
 
+/// Until when each fault of a service, the network or the users lasts.
+#[derive(Default)]
+struct OngoingFaults {
+    store_out_until: u64,
+    store_slow_until: u64,
+    cloud_out_until: u64,
+    peers_refuse_until: u64,
+    late_copies_until: u64,
+    late_writes_until: u64,
+    held_commands_until: u64,
+    cancel_at_end_until: u64,
+    invalid_requests_until: u64,
+    south_isolated_until: u64,
+    slow_boots_until: u64,
+}
+
+/// The simulated cluster, and what the rules of the protocol are checked against.
 pub struct World {
     pub now: u64,
     rng: StdRng,
     order: u64,
     heap: BinaryHeap<Reverse<(u64, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
+    scheduled_events: BTreeMap<u64, ScheduledEvent>,
     nodes: Vec<Node>,
     store: Store,
-    store_out: u64,
-    store_slow: u64,
-    cloud_out: u64,
-    peers_refuse: u64,
-    copies: u64,
-    late_writes: u64,
-    held_commands: u64,
-    cancel_at_end: u64,
-    odd_requests: u64,
-    south_alone: u64,
-    late_boots: u64,
+    ongoing: OngoingFaults,
     /// Jobs that fail on every machine until their users cancel them.
     mistaken: BTreeSet<String>,
     watches: Vec<OpenWatch>,
@@ -99,9 +106,9 @@
     /// Since when users of most jobs are answered.
     most_heard_since: Option<u64>,
     /// Where each task is on a machine now.
-    on: BTreeMap<String, BTreeSet<String>>,
+    task_machines: BTreeMap<String, BTreeSet<String>>,
     pub done_tasks: BTreeSet<String>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub starts: u64,
     /// Tasks that left their machine before their end.
     pub lost_tasks: u64,
@@ -111,7 +118,7 @@
     pub starts_after_cancel: u64,
     /// The longest that a task stayed on a machine after its user was told so.
     pub longest_cancelled: u64,
-    pub calm_at: u64,
+    pub faults_end_at: u64,
     pub sent: Sent,
     /// Machines to be had of each zone and kind.
     capacity: usize,
@@ -135,7 +142,7 @@
 impl World {
     /// Machines that no answer reaches, and that are still rented.
     pub fn deaf_machines(&self) -> usize {
-        let deaf = |worker: &&Worker| worker.up(self.now) && self.now < worker.deaf_until;
+        let deaf = |worker: &&Worker| worker.up(self.now) && self.now < worker.receives_nothing_until;
         self.workers.values().filter(deaf).count()
     }
 
@@ -158,10 +165,10 @@
         self.store.count(prefix)
     }
 
-    fn at(&mut self, time: u64, happening: Happening) {
+    fn at(&mut self, time: u64, event: ScheduledEvent) {
         self.order += 1;
         self.heap.push(Reverse((time.max(self.now), self.order)));
-        self.happenings.insert(self.order, happening);
+        self.scheduled_events.insert(self.order, event);
     }
 
     fn delay(&mut self) -> u64 {
@@ -175,28 +182,28 @@
     pub fn run(&mut self, until: u64) {
         while let Some(&Reverse((time, order))) = self.heap.peek() {
             // What is due later stays for the next call.
-            if time > until || !self.broken.is_empty() {
+            if time > until || !self.violations.is_empty() {
                 return;
             }
             self.heap.pop();
             self.now = time;
-            if let Some(happening) = self.happenings.remove(&order) {
-                self.happen(happening);
+            if let Some(event) = self.scheduled_events.remove(&order) {
+                self.dispatch(event);
             }
         }
     }
 
     fn step(&mut self, node: usize, input: Input) {
-        let (now, broken) = (self.now, &mut self.nodes[node]);
+        let (now, running) = (self.now, &mut self.nodes[node]);
         let clock = Now {
-            monotonic: broken.offset + (now as f64 * broken.rate) as u64 + 1_000_000,
+            monotonic: running.clock_offset + (now as f64 * running.clock_rate) as u64 + 1_000_000,
             wall_clock: 1_700_000_000_000 + now,
         };
-        let Some(controller) = &mut broken.controller else {
+        let Some(controller) = &mut running.controller else {
             return;
         };
         let outputs = controller.step(clock, input);
-        let (incarnation, thaw) = (broken.incarnation, broken.frozen_until);
+        let (incarnation, thaw) = (running.incarnation, running.frozen_until);
         for output in outputs {
             let requester = match &output {
                 Output::Answer { request, .. } => self.requests.get(&(node, *request)),
@@ -207,7 +214,7 @@
             } else if now < thaw {
                 self.at(
                     thaw,
-                    Happening::Thawed {
+                    ScheduledEvent::Thawed {
                         node,
                         incarnation,
                         output,
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -59,7 +59,7 @@
         }
         match self.requests.remove(&(node, request)) {
             Some(Waiting::User { job, kind }) => {
-                let answered = Happening::UserAnswered {
+                let answered = ScheduledEvent::UserAnswered {
                     job,
                     kind,
                     given: self.now,
@@ -69,9 +69,9 @@
             }
             Some(Waiting::Health) => self.nodes[node].healthy = answer.status == 200,
             Some(Waiting::Report { machine, id })
-                if self.now >= self.nodes[node].worker_cut.max(self.apart_from(node, &machine)) =>
+                if self.now >= self.nodes[node].worker_cut_until.max(self.apart_from(node, &machine)) =>
             {
-                self.at(self.now + delay, Happening::ReportAnswered { machine, id, answer });
+                self.at(self.now + delay, ScheduledEvent::ReportAnswered { machine, id, answer });
             }
             _ => {}
         }
@@ -83,8 +83,11 @@
             return;
         };
         let alone = self.alone_until(node).max(self.alone_until(to));
-        let cut = self.nodes[node].peer_cut.max(self.nodes[to].peer_cut).max(alone);
-        if self.now < cut.max(self.peers_refuse) {
+        let cut = self.nodes[node]
+            .peer_cut_until
+            .max(self.nodes[to].peer_cut_until)
+            .max(alone);
+        if self.now < cut.max(self.ongoing.peers_refuse_until) {
             return;
         }
         let (delay, incarnation) = (self.delay(), self.nodes[to].incarnation);
@@ -94,7 +97,7 @@
         };
         self.at(
             self.now + delay,
-            Happening::Input {
+            ScheduledEvent::Input {
                 node: to,
                 incarnation,
                 input,
@@ -109,7 +112,7 @@
             self.give_cloud_reply(caller, 6_000, CloudReply::Unanswered);
         }
         let late = if lost { self.rng.random_range(0..15_000) } else { delay };
-        let arrival = Happening::Cloud {
+        let arrival = ScheduledEvent::Cloud {
             caller,
             request,
             reply: !lost,
@@ -127,7 +130,7 @@
         let input = Input::Cloud { call, reply };
         self.at(
             self.now + after_ms,
-            Happening::Input {
+            ScheduledEvent::Input {
                 node,
                 incarnation,
                 input,
@@ -144,7 +147,11 @@
 
     /// Until when a controller is cut off with its zone from all other zones.
     pub(super) fn alone_until(&self, node: usize) -> u64 {
-        if node == SOUTH_NODE { self.south_alone } else { 0 }
+        if node == SOUTH_NODE {
+            self.ongoing.south_isolated_until
+        } else {
+            0
+        }
     }
 
     /// Until when a controller and machines of the south, or of the north, can't
@@ -153,7 +160,7 @@
         if (node == SOUTH_NODE) == south {
             0
         } else {
-            self.south_alone
+            self.ongoing.south_isolated_until
         }
     }
 
--- a/tests/rules/world/happening.rs
+++ b/tests/rules/world/scheduled_event.rs
@@ -10,7 +10,7 @@
     pub call: u64,
 }
 
-pub(super) enum Happening {
+pub(super) enum ScheduledEvent {
     Tick(usize),
     Input {
         node: usize,
@@ -44,18 +44,19 @@
         id: u64,
         answer: Answer,
     },
-    World,
+    /// A step of simulated time for machines, services and checks.
+    ClusterStep,
     User(usize),
     /// A request of a user out of turn.
     UserNow(usize),
     UserAnswered {
         job: usize,
-        kind: u8,
+        kind: RequestKind,
         /// When the controller gave it.
         given: u64,
         answer: Answer,
     },
-    Trouble(Trouble),
+    Fault(Fault),
     Restart(usize),
     /// What a controller that stood still sends when it wakes.
     Thawed {
@@ -67,6 +68,6 @@
 
 pub(super) enum Waiting {
     Health,
-    User { job: usize, kind: u8 },
+    User { job: usize, kind: RequestKind },
     Report { machine: String, id: u64 },
 }
--- a/tests/rules/world/setup.rs
+++ b/tests/rules/world/setup.rs
@@ -5,36 +5,36 @@
 const SETTINGS: &str = include_str!("../../support/settings.toml");
 
 impl World {
-    pub fn new(seed: u64, nodes: usize, jobs: usize, troubles: Vec<(u64, Trouble)>) -> World {
+    pub fn new(seed: u64, nodes: usize, jobs: usize, faults: Vec<(u64, Fault)>) -> World {
         let mut rng = StdRng::seed_from_u64(seed);
         let nodes = (0..nodes).map(|index| Node::new(index, &mut rng)).collect();
         let mut world = World::empty(rng, nodes);
-        let ends = troubles.iter().map(|(at, trouble)| at + trouble.lasts());
-        world.calm_at = ends.max().unwrap_or(0);
+        let ends = faults.iter().map(|(at, fault)| at + fault.lasts());
+        world.faults_end_at = ends.max().unwrap_or(0);
         for index in 0..jobs {
             let job = world.draw_job(index);
-            world.at(job.submit_at, Happening::User(index));
+            world.at(job.submit_at, ScheduledEvent::User(index));
             world.jobs.push(job);
         }
         for node in 0..world.nodes.len() {
             let at = world.rng.random_range(0..200);
-            world.at(at, Happening::Restart(node));
+            world.at(at, ScheduledEvent::Restart(node));
         }
-        for (at, trouble) in troubles {
-            world.at(at, Happening::Trouble(trouble));
+        for (at, fault) in faults {
+            world.at(at, ScheduledEvent::Fault(fault));
         }
-        world.at(100, Happening::World);
+        world.at(100, ScheduledEvent::ClusterStep);
         world
     }
 
     /// Room for some thousand machines, and teams that may use them.
-    pub fn at_size(seed: u64, nodes: usize, troubles: Vec<(u64, Trouble)>) -> World {
-        World::of_size(seed, nodes, 1_000, troubles)
+    pub fn at_size(seed: u64, nodes: usize, faults: Vec<(u64, Fault)>) -> World {
+        World::of_size(seed, nodes, 1_000, faults)
     }
 
     /// Room for so many machines of each zone and kind, of which there are four.
-    pub fn of_size(seed: u64, nodes: usize, capacity: usize, troubles: Vec<(u64, Trouble)>) -> World {
-        let mut world = World::new(seed, nodes, 0, troubles);
+    pub fn of_size(seed: u64, nodes: usize, capacity: usize, faults: Vec<(u64, Fault)>) -> World {
+        let mut world = World::new(seed, nodes, 0, faults);
         world.capacity = capacity;
         world.team_cpus = 20.0 * capacity as f64;
         world
@@ -46,20 +46,10 @@
             rng,
             order: 0,
             heap: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
+            scheduled_events: BTreeMap::new(),
             nodes,
             store: Store::default(),
-            store_out: 0,
-            store_slow: 0,
-            cloud_out: 0,
-            peers_refuse: 0,
-            copies: 0,
-            late_writes: 0,
-            held_commands: 0,
-            cancel_at_end: 0,
-            odd_requests: 0,
-            south_alone: 0,
-            late_boots: 0,
+            ongoing: OngoingFaults::default(),
             mistaken: BTreeSet::new(),
             watches: Vec::new(),
             workers: BTreeMap::new(),
@@ -70,9 +60,9 @@
             next_request: 0,
             next_report: 0,
             most_heard_since: None,
-            on: BTreeMap::new(),
+            task_machines: BTreeMap::new(),
             done_tasks: BTreeSet::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             starts: 0,
             lost_tasks: 0,
             failures: 0,
@@ -82,7 +72,7 @@
             capacity: 4,
             run_times: 1,
             team_cpus: TEAM_CPUS,
-            calm_at: 0,
+            faults_end_at: 0,
         }
     }
 
@@ -99,7 +89,7 @@
         let settings = Settings::parse(&text).expect("valid settings");
         self.nodes[node].incarnation = incarnation;
         self.nodes[node].controller = Some(Controller::new(settings, Policy::default(), incarnation));
-        self.at(self.now, Happening::Tick(node));
+        self.at(self.now, ScheduledEvent::Tick(node));
     }
 }
 
@@ -109,13 +99,13 @@
             controller: None,
             incarnation: 0,
             name: format!("n{index}"),
-            offset: rng.random_range(0..5_000_000),
-            rate: rng.random_range(0.9995..1.0005),
-            store_cut: 0,
-            peer_cut: 0,
-            worker_cut: 0,
-            refused: 0,
-            reads_lost: 0,
+            clock_offset: rng.random_range(0..5_000_000),
+            clock_rate: rng.random_range(0.9995..1.0005),
+            store_cut_until: 0,
+            peer_cut_until: 0,
+            worker_cut_until: 0,
+            refused_until: 0,
+            reads_lost_until: 0,
             frozen_until: 0,
             last_inputs: 0,
             healthy: false,
--- a/tests/rules/world/state_service.rs
+++ b/tests/rules/world/state_service.rs
@@ -17,7 +17,7 @@
         self.sent.store_requests += 1;
         self.sent.store_writes += request.writes() as usize;
         let node = &self.nodes[caller.node];
-        if self.now < node.refused {
+        if self.now < node.refused_until {
             self.refuse(caller, request);
             return;
         }
@@ -25,11 +25,11 @@
             request,
             StoreRequest::Get(_) | StoreRequest::List { .. } | StoreRequest::Watch { .. }
         );
-        if reads && self.now < node.reads_lost {
+        if reads && self.now < node.reads_lost_until {
             self.give_store_reply(caller, STORE_TIMEOUT_MS, StoreReply::Unanswered);
             return;
         }
-        let cut = node.store_cut.max(self.alone_until(caller.node));
+        let cut = node.store_cut_until.max(self.alone_until(caller.node));
         if self.now < cut {
             self.hold_until_reconnected(caller, cut, request);
             return;
@@ -41,7 +41,7 @@
     fn hold_until_reconnected(&mut self, caller: Caller, cut: u64, request: StoreRequest) {
         if matches!(request, StoreRequest::Transact(_)) && self.rng.random_bool(0.5) {
             let late = cut + self.rng.random_range(0..3_000);
-            let arrival = Happening::Store {
+            let arrival = ScheduledEvent::Store {
                 caller,
                 request,
                 reply: false,
@@ -52,10 +52,15 @@
     }
 
     fn deliver_to_store(&mut self, caller: Caller, request: StoreRequest) {
-        let slow = if self.now < self.store_slow { 15 } else { 1 };
+        let slow = if self.now < self.ongoing.store_slow_until {
+            15
+        } else {
+            1
+        };
         let delay = self.delay() * slow;
-        let held =
-            self.now < self.late_writes && matches!(request, StoreRequest::Transact(_)) && self.rng.random_bool(0.33);
+        let held = self.now < self.ongoing.late_writes_until
+            && matches!(request, StoreRequest::Transact(_))
+            && self.rng.random_bool(0.33);
         let lost = held || self.rng.random_bool(0.003);
         if lost {
             self.give_store_reply(caller, STORE_TIMEOUT_MS, StoreReply::Unanswered);
@@ -65,7 +70,7 @@
             (_, true) => self.rng.random_range(0..8_000),
             _ => delay,
         };
-        let arrival = Happening::Store {
+        let arrival = ScheduledEvent::Store {
             caller,
             request,
             reply: !lost,
@@ -74,7 +79,7 @@
     }
 
     pub(super) fn store_call(&mut self, caller: Caller, request: StoreRequest, reply: bool) {
-        if self.now < self.store_out {
+        if self.now < self.ongoing.store_out_until {
             if let StoreRequest::Watch { wait_ms, .. } = &request
                 && *wait_ms > 0
             {
@@ -105,14 +110,14 @@
     }
 
     pub(super) fn serve_watches(&mut self) {
-        if self.now < self.store_out {
+        if self.now < self.ongoing.store_out_until {
             return;
         }
         for watch in std::mem::take(&mut self.watches) {
             let answer = self.store.execute(self.now, &watch.request);
             let empty = matches!(&answer, StoreReply::Log(log) if log.events.is_empty());
             let node = &self.nodes[watch.caller.node];
-            let shut = node.store_cut.max(node.refused).max(node.reads_lost);
+            let shut = node.store_cut_until.max(node.refused_until).max(node.reads_lost_until);
             let shut = shut.max(self.alone_until(watch.caller.node));
             if (empty && self.now < watch.until) || self.now < shut {
                 self.watches.push(watch);
@@ -142,7 +147,7 @@
         let input = Input::Store { call, reply };
         self.at(
             self.now + after_ms,
-            Happening::Input {
+            ScheduledEvent::Input {
                 node,
                 incarnation,
                 input,
--- a/tests/rules/world/stored.rs
+++ b/tests/rules/world/stored.rs
@@ -77,12 +77,12 @@
         job.cancel_asked = told == Told::Cancelled;
         job.cancel_at = job.cancel_asked.then_some(self.now);
         self.jobs.push(job);
-        self.at(self.now + 1_000, Happening::User(index));
+        self.at(self.now + 1_000, ScheduledEvent::User(index));
     }
 
     /// Whether the task was ever on a machine of this world.
     pub fn ever_started(&self, task: &str) -> bool {
-        self.on.contains_key(task)
+        self.task_machines.contains_key(task)
     }
 
     /// The machines that a request was answered with.
--- a/tests/rules/world/user_answers.rs
+++ b/tests/rules/world/user_answers.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 impl World {
-    pub(super) fn user_answered(&mut self, index: usize, kind: u8, given: u64, answer: &Answer) {
+    pub(super) fn user_answered(&mut self, index: usize, kind: RequestKind, given: u64, answer: &Answer) {
         let now = self.now;
         let id = self.jobs[index].spec.id.clone();
-        if matches!(kind, World::UNKNOWN | World::ODD) {
+        if matches!(kind, RequestKind::Unknown | RequestKind::Invalid) {
             self.check_refused(kind, answer);
             return;
         }
         let job = &mut self.jobs[index];
         if matches!(answer.status, 400 | 422) || (answer.status == 404 && job.told != Told::Nothing) {
-            self.broken.push(format!(
+            self.violations.push(format!(
                 "forgotten: {id} answered {} at {now} ({})",
                 answer.status, answer.body
             ));
@@ -42,12 +42,12 @@
     }
 
     /// No job is known that nobody submitted, and none is accepted that can't run or lacks a field.
-    fn check_refused(&mut self, kind: u8, answer: &Answer) {
-        if kind == World::UNKNOWN && answer.status == 200 {
-            self.broken.push(format!("invented: {}", answer.body));
+    fn check_refused(&mut self, kind: RequestKind, answer: &Answer) {
+        if kind == RequestKind::Unknown && answer.status == 200 {
+            self.violations.push(format!("invented: {}", answer.body));
         }
-        if kind == World::ODD && !matches!(answer.status, 400 | 422 | 429 | 503) {
-            self.broken
+        if kind == RequestKind::Invalid && !matches!(answer.status, 400 | 422 | 429 | 503) {
+            self.violations
                 .push(format!("accepted: {}, {}", answer.status, answer.body));
         }
     }
@@ -58,7 +58,7 @@
         let id = &job.spec.id;
         let ended = matches!(job.told, Told::Done | Told::Cancelled);
         if (ended && told != job.told) || (told == Told::Cancelled && !job.cancel_asked) {
-            self.broken
+            self.violations
                 .push(format!("went_back: {id} was {:?}, now {told:?} at {now}", job.told));
         }
         if told == Told::Done {
@@ -66,7 +66,7 @@
                 .filter(|task| !self.done_tasks.contains(&format!("{id}/{task}")))
                 .count();
             if missing > 0 {
-                self.broken
+                self.violations
                     .push(format!("not_done: {id} lacks {missing} tasks at {now}"));
             }
         }
@@ -74,7 +74,10 @@
 
     /// Called off at the moment at which its last task ends.
     pub(super) fn ended_now(&mut self, task: &str) {
-        let Some(index) = self.job_of(task).filter(|_| self.now < self.cancel_at_end) else {
+        let Some(index) = self
+            .job_of(task)
+            .filter(|_| self.now < self.ongoing.cancel_at_end_until)
+        else {
             return;
         };
         let (now, job) = (self.now, &mut self.jobs[index]);
@@ -84,25 +87,28 @@
         if left <= 1 && job.cancel_at.is_none() && self.rng.random_bool(0.5) {
             job.cancel_at = Some(now);
             let at = now + self.rng.random_range(0..600);
-            self.at(at, Happening::UserNow(index));
+            self.at(at, ScheduledEvent::UserNow(index));
         }
     }
 
     /// Repeats of known jobs, cancels of done ones, and jobs that no controller
     /// may take: too large for any machine, of no team, or without a field.
-    pub(super) fn send_odd_requests(&mut self) {
-        if self.now >= self.odd_requests || self.jobs.is_empty() {
+    pub(super) fn send_invalid_requests(&mut self) {
+        if self.now >= self.ongoing.invalid_requests_until || self.jobs.is_empty() {
             return;
         }
         let index = self.rng.random_range(0..self.jobs.len());
         let job = &self.jobs[index];
         let (kind, user_request) = match self.rng.random_range(0..4) {
             0 if job.told != Told::Nothing => (
-                World::SUBMIT,
+                RequestKind::Submit,
                 UserRequest::Submit(serde_json::to_string(&job.spec).expect("json")),
             ),
-            1 if job.told == Told::Done => (World::CANCEL, UserRequest::Cancel(job.spec.id.clone())),
-            2 => (World::ODD, UserRequest::Submit(self.odd_job().to_string())),
+            1 if job.told == Told::Done => (RequestKind::Cancel, UserRequest::Cancel(job.spec.id.clone())),
+            2 => (
+                RequestKind::Invalid,
+                UserRequest::Submit(self.invalid_job().to_string()),
+            ),
             _ => return,
         };
         let node = self.rng.random_range(0..self.nodes.len());
@@ -113,7 +119,7 @@
         self.step(node, Input::User { request, user_request });
     }
 
-    fn odd_job(&mut self) -> serde_json::Value {
+    fn invalid_job(&mut self) -> serde_json::Value {
         let spec = JobSpec {
             id: format!("j-8{:05}", self.rng.random_range(0..100_000)),
             ..World::plain_spec()
@@ -146,7 +152,7 @@
     }
 
     /// For tests of the checks: a controller answers so.
-    pub fn is_answered(&mut self, index: usize, kind: u8, status: u16, body: &str) {
+    pub fn is_answered(&mut self, index: usize, kind: RequestKind, status: u16, body: &str) {
         let answer = Answer {
             status,
             body: body.into(),
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+/// What a user was last told of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Told {
     Nothing,
@@ -10,6 +11,19 @@
     Cancelled,
 }
 
+/// What a user asks of a controller.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum RequestKind {
+    Submit,
+    Poll,
+    Cancel,
+    /// About a job that nobody submitted.
+    Unknown,
+    /// To submit a job that must not be accepted.
+    Invalid,
+}
+
+/// A job, and what its user knows of it.
 pub struct UserJob {
     pub spec: JobSpec,
     pub submit_at: u64,
@@ -27,14 +41,6 @@
 }
 
 impl World {
-    /// What a user asks: to submit, about the job, to cancel it, about one that
-    /// nobody submitted, and something that must not be taken.
-    pub const SUBMIT: u8 = 0;
-    pub const POLL: u8 = 1;
-    pub const CANCEL: u8 = 2;
-    pub const UNKNOWN: u8 = 3;
-    pub const ODD: u8 = 4;
-
     pub(super) fn draw_job(&mut self, index: usize) -> UserJob {
         let rng = &mut self.rng;
         let tasks = rng.random_range(1..9);
@@ -79,7 +85,7 @@
         };
         job.submit_at = submit_at;
         job.cancel_at = None;
-        self.at(submit_at, Happening::User(index));
+        self.at(submit_at, ScheduledEvent::User(index));
         self.jobs.push(job);
         index
     }
@@ -143,22 +149,22 @@
         self.step(node, Input::User { request, user_request });
     }
 
-    fn next_request_of_user(&mut self, index: usize) -> (u8, UserRequest) {
+    fn next_request_of_user(&mut self, index: usize) -> (RequestKind, UserRequest) {
         let job = &mut self.jobs[index];
         let id = job.spec.id.clone();
         if job.told == Told::Nothing {
             let body = serde_json::to_string(&job.spec).expect("json");
-            return (World::SUBMIT, UserRequest::Submit(body));
+            return (RequestKind::Submit, UserRequest::Submit(body));
         }
         if job.told == Told::Accepted && job.cancel_at.is_some_and(|at| self.now >= at) {
             job.cancel_asked = true;
-            return (World::CANCEL, UserRequest::Cancel(id));
+            return (RequestKind::Cancel, UserRequest::Cancel(id));
         }
         // Now and then somebody asks about a job that nobody submitted.
         if self.rng.random_bool(0.05) {
-            return (World::UNKNOWN, UserRequest::Show(format!("j-9{index:05}")));
+            return (RequestKind::Unknown, UserRequest::Show(format!("j-9{index:05}")));
         }
-        (World::POLL, UserRequest::Show(id))
+        (RequestKind::Poll, UserRequest::Show(id))
     }
 
     /// The controller that the load balancer connects a user to.
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -31,10 +31,10 @@
     pub up_at: u64,
     pub gone: bool,
     pub cut_until: u64,
-    pub deaf_until: u64,
-    pub mute_until: u64,
+    pub receives_nothing_until: u64,
+    pub reaches_no_controller_until: u64,
     pub hung_until: u64,
-    pub sick_until: u64,
+    pub fails_tasks_until: u64,
     pub agent_epoch: u64,
     pub seq: u64,
     pub fencing_token: u64,
@@ -59,13 +59,13 @@
 
     /// Until when neither an answer nor a direct command is taken.
     pub fn unreachable_until(&self) -> u64 {
-        self.cut_until.max(self.deaf_until).max(self.hung_until)
+        self.cut_until.max(self.receives_nothing_until).max(self.hung_until)
     }
 
     /// In reach, at work, and not about to go.
     pub fn well(&self, now: u64) -> bool {
-        let until = self.unreachable_until().max(self.mute_until);
-        self.up(now) && now >= until && now >= self.sick_until && self.spot_reclaim_at.is_none()
+        let until = self.unreachable_until().max(self.reaches_no_controller_until);
+        self.up(now) && now >= until && now >= self.fails_tasks_until && self.spot_reclaim_at.is_none()
     }
 
     pub fn report(&mut self) -> Report {
@@ -103,7 +103,7 @@
                 running.state = TaskState::Running;
                 running.until = now + running.run_ms;
                 effects.push(Effect::Started { task: task.clone() });
-                if now < self.sick_until || running.run_ms == FAILS {
+                if now < self.fails_tasks_until || running.run_ms == FAILS {
                     running.exit(ExitReason::Error);
                     effects.push(Effect::Left {
                         task: task.clone(),
