--- a/tests/rules/fleet_at_size.rs
+++ b/tests/rules/fleet_at_size.rs
@@ -49,7 +49,7 @@
 
 /// A fleet of one to two thousand machines: the state service is out, all
 /// controllers end in the meantime and once more while they take over, a zone is
-/// cut off, and the leader stands still.
+/// cut off, and the leader freezes.
 #[test]
 fn a_large_fleet_lives_through_restarts_a_zone_cut_and_a_freeze() {
     let crash = |at| (0..5).map(move |node| (at, Fault::Crash { node }));
--- a/tests/rules/meetings/random_faults.rs
+++ b/tests/rules/meetings/random_faults.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand::rngs::StdRng;
 
-/// Anything with anything, from all that the stand-ins can bring about.
+/// Anything with anything, from all faults that can be injected.
 #[test]
 fn drawn_meetings() {
     run_meeting_with_seeds(&[216], 4, |rng| {
--- a/tests/rules/scheduling.rs
+++ b/tests/rules/scheduling.rs
@@ -4,7 +4,7 @@
 use crate::world::{Fault, Told, World};
 use sumacbend::wire::Priority;
 
-/// The stand-in fails on values and transactions beyond the protocol's limits,
+/// The simulated state service fails on values and transactions beyond the protocol's limits,
 /// so this shows that the largest job stays within them.
 #[test]
 fn the_largest_job_is_scheduled_and_cleaned_up() {
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud.
+//! A simulated cloud: its catalogue, machine requests and list of machines.
 
 use super::*;
 
--- a/tests/rules/world/fault.rs
+++ b/tests/rules/world/fault.rs
@@ -92,11 +92,11 @@
     DelayedCommands {
         ms: u64,
     },
-    /// Users call off all that runs at once; the machines of some hang then.
+    /// Users cancel all running jobs at once; the machines of some hang then.
     CancelNow {
         hang_ms: u64,
     },
-    /// Half of the jobs that end are called off at the moment of their end.
+    /// Half of the jobs that end are cancelled at the moment of their end.
     CancelAtEnd {
         ms: u64,
     },
--- a/tests/rules/world/fault_injection.rs
+++ b/tests/rules/world/fault_injection.rs
@@ -156,7 +156,7 @@
         }
     }
 
-    /// What runs is called off, up to eight jobs' machines hang meanwhile.
+    /// All running jobs are cancelled; up to eight jobs' machines hang meanwhile.
     fn cancel_now(&mut self, hang_ms: u64) {
         let mut hangs = BTreeSet::new();
         for (task, machines) in &self.task_machines {
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated world for the controllers: stand-ins for the state service, the
+//! A simulated world for the controllers: the state service, the
 //! cloud, workers and users, a network that delays, loses and holds back, and
 //! seeded faults. The rules of the protocol are checked at every change.
 
@@ -61,7 +61,7 @@
     refused_until: u64,
     reads_lost_until: u64,
     frozen_until: u64,
-    /// Inputs that it still takes before it stands still.
+    /// Inputs that it still takes before it freezes.
     last_inputs: u32,
     /// What its last health check said, as the load balancer sees it.
     healthy: bool,
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    /// True if a controller stands still and can take nothing in now.
+    /// True if a controller is frozen and takes no input now.
     pub(super) fn stands_still(&mut self, node: usize) -> bool {
         let (now, node) = (self.now, &mut self.nodes[node]);
         if now >= node.frozen_until {
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service, by its published protocol.
+//! A simulated state service, by its published protocol.
 
 use std::collections::BTreeMap;
 use sumacbend::store::{StoreReply, StoreRequest};
--- a/tests/rules/world/user_answers.rs
+++ b/tests/rules/world/user_answers.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Called off at the moment at which its last task ends.
+    /// Some jobs are cancelled at the moment at which their last task ends.
     pub(super) fn ended_now(&mut self, task: &str) {
         let Some(index) = self
             .job_of(task)
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker and its machine, by the published protocol.
+//! A simulated worker and its machine, by the published protocol.
 
 use std::collections::BTreeMap;
 use sumacbend::wire::{Command, DirectCommands, ExitReason, Report, ReportAnswer, TaskReport, TaskState};
