--- /dev/null
+++ b/src/wire/mod.rs
@@ -0,0 +1,20 @@
+//! The messages that controllers exchange with users, workers, the cloud and the
+//! state service, as `serde` types.
+//!
+//! The protocol has its own vocabulary on the wire. It is translated here and nowhere
+//! else: Rust names are those of the field, and each `serde` rename gives the protocol's
+//! name. Unknown fields are ignored, as the protocol demands, and a field that may be
+//! null may also be missing.
+
+mod cloud;
+mod store;
+mod users;
+mod workers;
+
+pub use cloud::{Catalogue, ListedMachine, MachineList, MachineNames, MachineRequest, MachineState, MachineType};
+pub use store::{Change, Condition, Entry, Event, LeaseAnswer, LeaseRequest, Log, Page, Revision, Transaction};
+pub use users::{JobSpec, JobState, JobStatus, Kind, Priority};
+pub use workers::{Command, DirectCommands, ExitReason, Redirect, Report, ReportAnswer, TaskReport, TaskState};
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/wire/workers.rs
@@ -0,0 +1,182 @@
+//! Messages between workers and controllers: reports, commands and redirects.
+
+use serde::{Deserialize, Serialize};
+
+/// State of an attempt at a task, as its worker reports it.
+// The variants are renamed to the protocol's names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum TaskState {
+    /// Waiting for its image.
+    #[serde(rename = "fetching")]
+    Fetching,
+    /// Running.
+    #[serde(rename = "running")]
+    Running,
+    /// Told to stop, and saving its progress.
+    #[serde(rename = "saving")]
+    Saving,
+    /// No longer running, or never started; [`TaskReport::exit_reason`] says why.
+    #[serde(rename = "ended")]
+    Exited,
+    /// A state that this version of the protocol does not name.
+    #[serde(other)]
+    Other,
+}
+
+/// Why an attempt exited.
+// The variants are renamed to the protocol's names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum ExitReason {
+    /// Completed; the result is kept.
+    #[serde(rename = "done")]
+    Done,
+    /// Stopped by command.
+    #[serde(rename = "stopped")]
+    Stopped,
+    /// Failed, by a fault of the machine or a mistake in the job.
+    #[serde(rename = "error")]
+    Error,
+    /// Start refused: not enough free resources on the machine.
+    #[serde(rename = "no_room")]
+    NoRoom,
+    /// Start refused: the machine holds another attempt at the same task.
+    #[serde(rename = "in_use")]
+    Busy,
+    /// Start refused: the worker knows no such job or task.
+    #[serde(rename = "no_such")]
+    Unknown,
+    /// A reason that this version of the protocol does not name.
+    #[serde(other)]
+    Other,
+}
+
+/// An attempt at a task, as its worker reports it.
+// The fields are renamed to the protocol's names.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct TaskReport {
+    /// Name of the task: the job's id, a slash and the task's number.
+    #[serde(rename = "lot")]
+    pub task: String,
+    /// Number of the attempt.
+    #[serde(rename = "relist")]
+    pub attempt: u64,
+    /// State of the attempt.
+    #[serde(rename = "standing")]
+    pub state: TaskState,
+    /// Why it exited, once it has.
+    #[serde(rename = "passReason", default)]
+    pub exit_reason: Option<ExitReason>,
+}
+
+/// A worker's heartbeat: the state of its machine and of the attempts on it. The
+/// message with the larger (`agent_epoch`, `seq`) is the newer one.
+// The fields are renamed to the protocol's names.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Report {
+    /// Name of the machine.
+    #[serde(rename = "stall")]
+    pub machine: String,
+    /// Address at which the worker takes direct commands.
+    pub address: String,
+    /// Type of the machine.
+    #[serde(rename = "rig")]
+    pub machine_type: String,
+    /// Zone of the machine.
+    #[serde(rename = "yard")]
+    pub zone: String,
+    /// Whether it is a spot machine.
+    #[serde(rename = "loaner")]
+    pub spot: bool,
+    /// Number of the worker's session: starts at 1 and rises whenever its lease expires.
+    #[serde(rename = "saleDay")]
+    pub agent_epoch: u64,
+    /// Sequence number, which rises with every message of the worker.
+    #[serde(rename = "paddleCount")]
+    pub seq: u64,
+    /// Highest fencing token that the worker has seen.
+    #[serde(rename = "gavel")]
+    pub fencing_token: u64,
+    /// Seconds until the cloud takes the machine away, if it gave notice.
+    #[serde(rename = "recallS", default)]
+    pub notice_s: Option<f64>,
+    /// All attempts on the machine, including exited ones that it was not yet told to forget.
+    #[serde(rename = "lots")]
+    pub tasks: Vec<TaskReport>,
+}
+
+/// A command to a worker. Every command may be repeated, except that a start after a
+/// forget runs the attempt once more.
+// The tag, the variants and their fields are renamed to the protocol's names.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(tag = "call")]
+pub enum Command {
+    /// Start an attempt. Does nothing if the worker holds this attempt in any state.
+    #[serde(rename = "run")]
+    Start {
+        /// Name of the task.
+        #[serde(rename = "lot")]
+        task: String,
+        /// Number of the attempt.
+        #[serde(rename = "relist")]
+        attempt: u64,
+    },
+    /// Stop an attempt.
+    #[serde(rename = "kill")]
+    Stop {
+        /// Name of the task.
+        #[serde(rename = "lot")]
+        task: String,
+        /// Number of the attempt.
+        #[serde(rename = "relist")]
+        attempt: u64,
+        /// Seconds that the task may take to save its progress; with 0 it ends at once.
+        #[serde(rename = "closingS")]
+        grace_s: f64,
+    },
+    /// Leave an exited attempt out of the reports from now on.
+    #[serde(rename = "reap")]
+    Forget {
+        /// Name of the task.
+        #[serde(rename = "lot")]
+        task: String,
+        /// Number of the attempt.
+        #[serde(rename = "relist")]
+        attempt: u64,
+    },
+}
+
+/// The answer to a report. It renews the worker's lease.
+// The fields are renamed to the protocol's names.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct ReportAnswer {
+    /// Identifies the leader's term; a worker drops answers below the highest it has seen.
+    #[serde(rename = "gavel")]
+    pub fencing_token: u64,
+    /// Commands, executed in this order.
+    #[serde(rename = "calls")]
+    pub commands: Vec<Command>,
+}
+
+/// The answer to a report that this controller does not take.
+// The field is renamed to the protocol's name; it is left out where no controller is named.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Redirect {
+    /// The controller to report to from now on; without one, the worker tries the next.
+    #[serde(rename = "auctioneer", skip_serializing_if = "Option::is_none")]
+    pub report_to: Option<String>,
+}
+
+/// Commands sent straight to a worker. They do not renew its lease.
+// The fields are renamed to the protocol's names.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct DirectCommands {
+    /// The leader's term; refused if the worker has seen a higher one.
+    #[serde(rename = "gavel")]
+    pub fencing_token: u64,
+    /// Session of the worker; refused if it is in another by then.
+    #[serde(rename = "saleDay")]
+    pub agent_epoch: u64,
+    /// Commands, executed in this order.
+    #[serde(rename = "calls")]
+    pub commands: Vec<Command>,
+}
