--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -6,11 +6,13 @@
 mod loading;
 mod machines;
 mod reports;
+mod scheduling;
 
 use crate::Millis;
 use crate::fleet::Fleet;
 use crate::persistence::PendingWrites;
 use crate::pipeline::Jobs;
+use crate::placement::Preemptor;
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::store::Keys;
@@ -31,8 +33,7 @@
     pub workers: Workers,
     pub fleet: Fleet,
     pub pending_writes: PendingWrites,
-    /// When preemption was last looked for.
-    pub preempted_at: Millis,
+    pub preemptor: Preemptor,
 }
 
 impl Shard {
@@ -50,7 +51,7 @@
             workers: Workers::new(settings),
             fleet: Fleet::new(params.state.value_kb),
             pending_writes: PendingWrites::default(),
-            preempted_at: 0,
+            preemptor: Preemptor::default(),
         }
     }
 
--- /dev/null
+++ b/src/controller/shard/scheduling.rs
@@ -0,0 +1,59 @@
+//! Placement and preemption: applies what the scheduler decides.
+
+use super::Shard;
+use crate::ids::AttemptIx;
+use crate::placement::{self, Cluster, PlacementContext, StopMode};
+use crate::workers::Outcome;
+use crate::{Millis, Now};
+
+impl Shard {
+    /// Plans attempts for released tasks. They start once they are written.
+    pub fn place(&mut self, now: Millis) {
+        let chunks = placement::place(self.placement_context(now));
+        self.pending_writes.starts.extend(chunks);
+    }
+
+    /// Stops tasks of lower priority where a task has waited for room too long.
+    pub fn preempt(&mut self, now: Millis) {
+        let cluster = Cluster {
+            now: Now {
+                monotonic: now,
+                wall_clock: self.wall_clock,
+            },
+            jobs: &self.jobs,
+            workers: &self.workers,
+            topology: &self.topology,
+            policy: &self.policy,
+        };
+        for victim in self.preemptor.choose_victims(&cluster) {
+            self.stop_victim(now, victim);
+        }
+    }
+
+    /// What a round of placement reads and changes.
+    pub(super) fn placement_context(&mut self, now: Millis) -> PlacementContext<'_> {
+        PlacementContext {
+            now: Now {
+                monotonic: now,
+                wall_clock: self.wall_clock,
+            },
+            jobs: &mut self.jobs,
+            workers: &mut self.workers,
+            topology: &self.topology,
+            policy: &self.policy,
+        }
+    }
+
+    fn stop_victim(&mut self, now: Millis, attempt_ix: AttemptIx) {
+        let Some(attempt) = self.workers.attempts.get_mut(attempt_ix) else {
+            return;
+        };
+        match StopMode::new(attempt, self.jobs.table.get(attempt.job)) {
+            StopMode::Withdraw => self.close(now, attempt_ix, Outcome::Lost),
+            StopMode::Command { grace_s } => {
+                attempt.stop = Some(grace_s);
+                self.workers.delivery_due.insert(attempt.machine);
+            }
+        }
+    }
+}
--- a/src/controller/shard/tests.rs
+++ b/src/controller/shard/tests.rs
@@ -4,6 +4,7 @@
 mod commands;
 mod reports;
 mod worker_fixture;
+mod scheduling;
 
 use super::*;
 use crate::settings::{Settings, tests::SAMPLE};
--- a/src/placement/preemption/tests.rs
+++ b/src/controller/shard/tests/scheduling.rs
@@ -1,8 +1,17 @@
+//! Placement and preemption by way of the shard.
+
 use super::*;
-use crate::controller::shard_with;
-use crate::store::JobKey;
-use crate::wire::JobSpec;
-use serde_json::json;
+use crate::ids::{AttemptIx, JobIx, MachineIx};
+use crate::placement::PREEMPTION_INTERVAL_MS;
+use crate::wire::TaskState;
+
+impl Shard {
+    /// Opens an attempt of a task on a machine, whatever placement would choose.
+    pub fn open_attempt(&mut self, job: JobIx, task: u32, machine: MachineIx) {
+        let chunk = self.placement_context(0).open_attempt(job, task, machine);
+        self.pending_writes.starts.extend(chunk);
+    }
+}
 
 const NOW: Millis = 400_000;
 
@@ -63,7 +72,7 @@
     let mut shard = full_machine(true);
     shard.preempt(NOW);
     assert_eq!(stops(&shard), [3.0], "one is enough for a task of 4 CPUs");
-    shard.preempt(NOW + PREEMPT_EVERY_MS);
+    shard.preempt(NOW + PREEMPTION_INTERVAL_MS);
     assert_eq!(stops(&shard).len(), 1, "its resources is on its way");
 }
 
--- /dev/null
+++ b/src/placement/machine_view/mod.rs
@@ -0,0 +1,199 @@
+//! The machines as one round of placement sees them: only what the choice needs,
+//! side by side, so that looking at all of them is cheap.
+
+mod image_caches;
+mod ranking;
+mod slot;
+
+pub use ranking::{Best, Ranking};
+
+use super::unplaceable_shapes::UnplaceableShapes;
+use crate::Millis;
+use crate::ids::{ImageIx, Index, MachineIx, TypeIx, ZoneIx};
+use crate::pipeline::Job;
+use crate::resources::{Resources, Shape};
+use crate::topology::Topology;
+use crate::workers::Workers;
+use image_caches::ImageCaches;
+use ranking::Score;
+use slot::Slot;
+
+/// At most one slot in so many is reserved for jobs that would starve.
+const SLOTS_PER_RESERVATION: usize = 8;
+
+/// Where there is room for a task.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RoomForTask {
+    /// On a machine that has its image cached.
+    WithImageCached,
+    /// Only on machines without the image, while one that has it cached is full.
+    CacheHoldersFull {
+        /// Index of the first slot with room.
+        first_slot: usize,
+    },
+    /// Only on machines without the image, and no other machine has it cached.
+    WithoutImage,
+    /// On no machine.
+    Nowhere,
+}
+
+/// The machines that may be given tasks, with the room that is left on each. A slot
+/// is named by its index.
+#[derive(Debug)]
+pub struct MachineView {
+    slots: Vec<Slot>,
+    image_caches: ImageCaches,
+    /// Shapes for which no slot has room. Room only shrinks within a round.
+    unplaceable: UnplaceableShapes,
+    /// How many slots are reserved.
+    reserved: usize,
+}
+
+/// A slot that a job may use, full or not.
+struct OpenSlot<'a> {
+    index: usize,
+    slot: &'a Slot,
+    image_cached: bool,
+}
+
+impl MachineView {
+    /// A view of the machines that may be given tasks now.
+    pub fn new(workers: &Workers, topology: &Topology, now: Millis) -> MachineView {
+        let mut slots = Vec::with_capacity(workers.machines.len());
+        for (machine_ix, machine) in workers.machines.iter() {
+            if !machine.usable(now) {
+                continue;
+            }
+            if let Some(info) = &topology.type_info[machine.type_ix.usize()] {
+                slots.push(Slot::new(machine_ix, machine, info));
+            }
+        }
+        MachineView {
+            slots,
+            image_caches: ImageCaches::default(),
+            unplaceable: UnplaceableShapes::default(),
+            reserved: 0,
+        }
+    }
+
+    /// The slots that the job may use, in the order of their indices.
+    fn open_to<'a>(&'a self, job: &'a Job, zones: &'a Option<Vec<ZoneIx>>) -> impl Iterator<Item = OpenSlot<'a>> {
+        let holders = self.image_caches.holders(job.image);
+        let slots = self.slots.iter().zip(holders).enumerate();
+        slots
+            .map(|(index, (slot, &image_cached))| OpenSlot {
+                index,
+                slot,
+                image_cached,
+            })
+            .filter(|OpenSlot { slot, .. }| {
+                slot.is_allowed_by(&job.shape)
+                    && zones.as_ref().is_none_or(|zones| zones.contains(&slot.zone))
+                    && !job.failed_on.contains(&slot.machine)
+            })
+    }
+
+    /// Where there is room for one of the job's tasks in these zones (`None`: in any).
+    pub fn room_for(&mut self, workers: &Workers, job: &Job, zones: &Option<Vec<ZoneIx>>) -> RoomForTask {
+        self.image_caches.look_up(job.image, &self.slots, workers);
+        // What is known of all cache holders says nothing of those in some zones only.
+        let is_particular = zones.is_some() || !job.failed_on.is_empty();
+        if !is_particular && self.image_caches.are_full_for(job) {
+            let mut open = self.open_to(job, zones);
+            let found = open.find(|open| open.slot.has_room(job.shape.resources));
+            return found.map_or(RoomForTask::Nowhere, |open| RoomForTask::CacheHoldersFull {
+                first_slot: open.index,
+            });
+        }
+        let (mut first_slot, mut cache_holder_full) = (None, false);
+        for open in self.open_to(job, zones) {
+            match (open.slot.has_room(job.shape.resources), open.image_cached) {
+                (true, true) => return RoomForTask::WithImageCached,
+                (true, false) => first_slot = first_slot.or(Some(open.index)),
+                (false, image_cached) => cache_holder_full |= image_cached,
+            }
+        }
+        if cache_holder_full && !is_particular {
+            self.image_caches.note_full_for(job);
+        }
+        match (first_slot, cache_holder_full) {
+            (None, _) => RoomForTask::Nowhere,
+            (Some(first_slot), true) => RoomForTask::CacheHoldersFull { first_slot },
+            (Some(_), false) => RoomForTask::WithoutImage,
+        }
+    }
+
+    /// Ranks the slots that the job may use and that have room for one of its tasks.
+    pub fn rank(&mut self, workers: &Workers, job: &Job, zones: &Option<Vec<ZoneIx>>) -> Ranking {
+        self.image_caches.look_up(job.image, &self.slots, workers);
+        let mut scores = Vec::with_capacity(self.slots.len());
+        let mut cache_holder_full = false;
+        for open in self.open_to(job, zones) {
+            if open.slot.has_room(job.shape.resources) {
+                scores.push(Score::new(open.index, open.slot, open.image_cached));
+            } else {
+                cache_holder_full |= open.image_cached;
+            }
+        }
+        Ranking::new(scores, job.shape.resources, cache_holder_full)
+    }
+
+    /// The best slot of a ranking now, after what was placed by it.
+    pub fn best(&self, ranking: &mut Ranking, image: ImageIx) -> Option<Best> {
+        loop {
+            let slot = ranking.best_slot()?;
+            let image_cached = self.image_caches.has(image, slot);
+            if self.slots[slot].has_room(ranking.resources) {
+                return Some(Best {
+                    slot,
+                    image_cached,
+                    cache_holder_full: ranking.cache_holder_full,
+                });
+            }
+            ranking.drop_full(image_cached);
+        }
+    }
+
+    /// Gives room of a slot to a task, and its machine the task's image.
+    pub fn assign(&mut self, slot: usize, resources: Resources, image: ImageIx) {
+        self.image_caches.add(image, slot);
+        self.slots[slot].free.take(resources);
+    }
+
+    /// Reserves the roomiest slot that the shape may use: it is kept from everybody
+    /// else, so that it empties until the shape fits. No more than a part of all slots.
+    pub fn reserve(&mut self, shape: &Shape) {
+        if self.reserved >= self.slots.len().div_ceil(SLOTS_PER_RESERVATION) {
+            return;
+        }
+        let may_be_reserved = |slot: &&mut Slot| !slot.reserved && slot.is_allowed_by(shape);
+        let open = self.slots.iter_mut().filter(may_be_reserved);
+        if let Some(slot) = open.max_by(|a, b| a.free.cpus.total_cmp(&b.free.cpus)) {
+            slot.reserved = true;
+            self.reserved += 1;
+        }
+    }
+
+    /// The machine of a slot.
+    pub fn machine_at(&self, slot: usize) -> MachineIx {
+        self.slots[slot].machine
+    }
+
+    /// The type of a slot's machine.
+    pub fn type_at(&self, slot: usize) -> TypeIx {
+        self.slots[slot].type_ix
+    }
+
+    /// Whether it is known that no slot has room for the shape.
+    pub fn is_unplaceable(&self, shape: &Shape) -> bool {
+        self.unplaceable.contains(shape)
+    }
+
+    /// Remembers that no slot has room for the shape.
+    pub fn note_unplaceable(&mut self, shape: &Shape) {
+        self.unplaceable.insert(shape);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/placement/machine_view/slot.rs
@@ -0,0 +1,45 @@
+//! One machine in the view of a round.
+
+use crate::ids::{MachineIx, TypeIx, ZoneIx};
+use crate::resources::{Resources, Shape};
+use crate::topology::TypeInfo;
+use crate::workers::Machine;
+
+/// A machine that may be given tasks, and the room that the round has left on it.
+#[derive(Debug)]
+pub struct Slot {
+    pub machine: MachineIx,
+    pub type_ix: TypeIx,
+    pub zone: ZoneIx,
+    pub spot: bool,
+    /// CPUs of the whole machine.
+    pub type_cpus: f64,
+    pub free: Resources,
+    /// Kept empty for a job that would else never find room.
+    pub reserved: bool,
+}
+
+impl Slot {
+    /// The slot of a machine of this type.
+    pub fn new(machine_ix: MachineIx, machine: &Machine, info: &TypeInfo) -> Slot {
+        Slot {
+            machine: machine_ix,
+            type_ix: machine.type_ix,
+            zone: machine.zone,
+            spot: machine.spot,
+            type_cpus: info.resources.cpus,
+            free: info.resources.minus(machine.used),
+            reserved: false,
+        }
+    }
+
+    /// Whether a task that asks for this much may start here now.
+    pub fn has_room(&self, resources: Resources) -> bool {
+        !self.reserved && self.free.fits(resources)
+    }
+
+    /// Whether tasks of this shape may run here at all, full or not.
+    pub fn is_allowed_by(&self, shape: &Shape) -> bool {
+        shape.allows(self.type_ix, self.zone, self.spot)
+    }
+}
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -1,31 +1,116 @@
 use super::*;
-use crate::controller::shard_with;
 use crate::ids::JobIx;
+use crate::pipeline::{JobBuilder, Jobs};
+use crate::settings::{Settings, tests::SAMPLE};
+use crate::store::JobKey;
+use crate::wire::{Catalogue, MachineType};
+use crate::workers::Machine;
 use proptest::prelude::*;
+use serde_json::json;
 
-fn shard(machines: &[(bool, bool, f64, Option<u32>)]) -> (Shard, JobIx) {
-    let mut shard = shard_with(1, &[("small", 8.0), ("large", 16.0)], 40, true);
-    let job = shard.jobs.table.find("j-1").expect("known");
-    let image = shard.jobs.table.get(job).expect("there").image;
-    for (number, &(large, spot, used, holds)) in machines.iter().enumerate() {
+/// Machines of two types, and one job of 40 tasks.
+struct Fixture {
+    topology: Topology,
+    workers: Workers,
+    jobs: Jobs,
+    job: JobIx,
+}
+
+/// A machine: its size, how it is rented, its CPUs in use, and the image it has.
+type MachineState = (bool, bool, f64, Option<u32>);
+
+impl Fixture {
+    fn new(machines: &[MachineState]) -> Fixture {
+        let settings = Settings::parse(SAMPLE).expect("valid settings");
+        let mut topology = Topology::new(&settings.params.zones);
+        let types = [("small", 8.0), ("large", 16.0)].map(|(name, cpus)| machine_type(name, cpus));
+        topology.set_catalogue(&Catalogue { types: types.into() });
+        let mut jobs = Jobs::new(&settings.params);
+        let job = add_job(&mut jobs, &mut topology);
+        let mut fixture = Fixture {
+            topology,
+            workers: Workers::new(&settings),
+            jobs,
+            job,
+        };
+        for (number, machine) in machines.iter().enumerate() {
+            fixture.add_machine(number, machine);
+        }
+        fixture
+    }
+
+    fn add_machine(&mut self, number: usize, &(large, spot, used, image): &MachineState) {
         let type_name = if large { "large" } else { "small" };
-        let ix = shard.add_machine(0, &format!("host-{number}"), type_name, "north", spot);
-        let machine = shard.workers.machines.get_mut(ix).expect("there");
-        machine.written = true;
-        machine.heard_at = Some(0);
+        let ix = self.add_empty_machine(&format!("host-{number}"), type_name, "north", spot);
+        let job_image = self.job().image;
+        let machine = self.workers.machines.get_mut(ix).expect("there");
         machine.used.cpus = used;
-        if let Some(other) = holds {
-            machine.touch(ImageIx(image.0 + other), 1.0, 50.0);
+        if let Some(other) = image {
+            machine.touch(ImageIx(job_image.0 + other), 1.0, 50.0);
         }
     }
-    (shard, job)
+
+    fn add_empty_machine(&mut self, name: &str, type_name: &str, zone: &str, spot: bool) -> MachineIx {
+        let type_ix = self.topology.type_ix(type_name);
+        let zone = self.topology.zones.intern(zone);
+        let mut machine = Machine::new(name, type_ix, zone, spot, 0);
+        machine.written = true;
+        machine.heard_at = Some(0);
+        self.workers.machines.insert(name, machine)
+    }
+
+    fn job(&self) -> &Job {
+        self.jobs.table.get(self.job).expect("there")
+    }
+
+    fn view(&self) -> MachineView {
+        MachineView::new(&self.workers, &self.topology, 0)
+    }
+}
+
+fn machine_type(name: &str, cpus: f64) -> MachineType {
+    MachineType {
+        name: name.into(),
+        cpus,
+        gpus: 0.0,
+        memory_gb: cpus * 4.0,
+        cache_gb: 50.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: Some(0.5),
+        boot_s: 5.0,
+        zones: vec!["north".into()],
+    }
+}
+
+fn add_job(jobs: &mut Jobs, topology: &mut Topology) -> JobIx {
+    let spec = json!({"id":"j-1","lotType":"sort","consignor":"floor",
+        "saleFormat":"array","bidRank":"high","lots":40,"cores":4.0,"cards":0.0,"memGb":8.0,"catalog":"img",
+        "pullGb":1.0,"oneZone":false,"scatter":false,"loaner":true,"appraisedS":5.0,"tallyS":0.0,"ledgerS":0.0});
+    let key = JobKey {
+        spec: serde_json::from_value(spec).expect("a job"),
+        accepted_ms: 0,
+        ended: None,
+    };
+    let mut builder = JobBuilder {
+        teams: &jobs.team_names,
+        types: &mut topology.types,
+        zones: &mut topology.zones,
+        images: &mut jobs.images,
+        classes: &mut jobs.classes,
+        due: &jobs.due,
+        start_within: &jobs.start_within,
+    };
+    let job = builder.admit(&key, 1, jobs.chunk_tasks).expect("a known team");
+    jobs.table.insert("j-1", job)
 }
 
 /// Algorithm 1 as the plain scan of all machines states it.
-fn plain_scan(shard: &Shard, job: &Job) -> Option<MachineIx> {
+fn plain_scan(fixture: &Fixture) -> Option<MachineIx> {
+    let job = fixture.job();
     let mut best: Option<((bool, bool, f64, f64), MachineIx)> = None;
-    for (ix, machine) in shard.workers.machines.iter() {
-        let info = shard.topology.type_info[machine.type_ix.usize()]
+    for (ix, machine) in fixture.workers.machines.iter() {
+        let info = fixture.topology.type_info[machine.type_ix.usize()]
             .as_ref()
             .expect("known");
         let free = info.resources.minus(machine.used);
@@ -41,9 +126,10 @@
 }
 
 /// A machine that the job may use holds its image and has no room for its task.
-fn holder_is_full(shard: &Shard, job: &Job) -> bool {
-    shard.workers.machines.iter().any(|(_, machine)| {
-        let info = shard.topology.type_info[machine.type_ix.usize()]
+fn cache_holder_is_full(fixture: &Fixture) -> bool {
+    let job = fixture.job();
+    fixture.workers.machines.iter().any(|(_, machine)| {
+        let info = fixture.topology.type_info[machine.type_ix.usize()]
             .as_ref()
             .expect("known");
         let allowed = job.shape.allows(machine.type_ix, machine.zone, machine.spot);
@@ -55,17 +141,15 @@
 /// another, because jobs bound to none found that all holders are full.
 #[test]
 fn full_holders_elsewhere_keep_no_job_of_a_zone_waiting() {
-    let (mut shard, job_ix) = shard(&[(false, true, 8.0, Some(0))]);
-    let empty = shard.add_machine(0, "host-south", "small", "south", true);
-    let machine = shard.workers.machines.get_mut(empty).expect("there");
-    machine.written = true;
-    machine.heard_at = Some(0);
-    let south = machine.zone;
-    let job = shard.jobs.table.get(job_ix).expect("there");
-    let mut view = MachineView::new(&shard, 0);
-    let anywhere = view.room_for(&shard, job, &None);
-    assert_eq!(anywhere, RoomFor::BesideFullHolder { place: 1 });
-    assert_eq!(view.room_for(&shard, job, &Some(vec![south])), RoomFor::Elsewhere);
+    let mut fixture = Fixture::new(&[(false, true, 8.0, Some(0))]);
+    fixture.add_empty_machine("host-south", "small", "south", true);
+    let south = fixture.topology.zones.intern("south");
+    let mut view = fixture.view();
+    let (workers, job) = (&fixture.workers, fixture.job());
+    let anywhere = view.room_for(workers, job, &None);
+    assert_eq!(anywhere, RoomForTask::CacheHoldersFull { first_slot: 1 });
+    let in_the_south = view.room_for(workers, job, &Some(vec![south]));
+    assert_eq!(in_the_south, RoomForTask::WithoutImage);
 }
 
 proptest! {
@@ -77,33 +161,35 @@
         ),
         tasks in 1usize..40
     ) {
-        let (mut shard, job_ix) = shard(&machines);
-        let mut view = MachineView::new(&shard, 0);
-        let mut ranking = view.rank(&shard, shard.jobs.table.get(job_ix).expect("there"), &None);
+        let mut fixture = Fixture::new(&machines);
+        let mut view = fixture.view();
+        let mut ranking = view.rank(&fixture.workers, fixture.job(), &None);
         for _ in 0..tasks {
-            let job = shard.jobs.table.get(job_ix).expect("there");
-            let expected = plain_scan(&shard, job);
+            let (workers, job) = (&fixture.workers, fixture.job());
+            let expected = plain_scan(&fixture);
             let (resources, image) = (job.shape.resources, job.image);
-            let held = |best: &MachineIx| shard.workers.machines.get(*best).is_some_and(|machine| machine.holds(image));
-            let room_for = match (expected, holder_is_full(&shard, job)) {
-                (None, _) => RoomFor::Nowhere,
-                (Some(best), _) if held(&best) => RoomFor::AtHolder,
-                (Some(_), true) => RoomFor::BesideFullHolder {
-                    place: view.slots.iter().position(|slot| slot.has_room(resources)).expect("resources"),
+            let has_image = |best: &MachineIx| workers.machines.get(*best).is_some_and(|machine| machine.holds(image));
+            let room = match (expected, cache_holder_is_full(&fixture)) {
+                (None, _) => RoomForTask::Nowhere,
+                (Some(best), _) if has_image(&best) => RoomForTask::WithImageCached,
+                (Some(_), true) => RoomForTask::CacheHoldersFull {
+                    first_slot: view.slots.iter().position(|slot| slot.has_room(resources)).expect("room"),
                 },
-                (Some(_), false) => RoomFor::Elsewhere,
+                (Some(_), false) => RoomForTask::WithoutImage,
             };
             // The second look may know more than the first.
-            prop_assert_eq!(view.room_for(&shard, job, &None), room_for);
-            prop_assert_eq!(view.room_for(&shard, job, &None), room_for);
+            prop_assert_eq!(view.room_for(workers, job, &None), room);
+            prop_assert_eq!(view.room_for(workers, job, &None), room);
             let found = view.best(&mut ranking, image);
-            prop_assert_eq!(found.as_ref().map(|best| view.machine_at(best.place)), expected);
-            prop_assert!(found.as_ref().is_none_or(|best| best.holder_full == holder_is_full(&shard, job)));
-            let Some(Best { place, .. }) = found else {
+            prop_assert_eq!(found.as_ref().map(|best| view.machine_at(best.slot)), expected);
+            prop_assert!(
+                found.as_ref().is_none_or(|best| best.cache_holder_full == cache_holder_is_full(&fixture))
+            );
+            let Some(Best { slot, .. }) = found else {
                 break;
             };
-            view.note_image(place, image);
-            let machine = shard.workers.machines.get_mut(view.take(place, resources)).expect("there");
+            view.assign(slot, resources, image);
+            let machine = fixture.workers.machines.get_mut(view.machine_at(slot)).expect("there");
             machine.used.add(resources);
             machine.touch(image, 1.0, 50.0);
         }
--- /dev/null
+++ b/src/placement/opening.rs
@@ -0,0 +1,70 @@
+//! Opens attempts: takes a task from its job and room from its team and its machine.
+
+use super::PlacementContext;
+use crate::Millis;
+use crate::ids::{ChunkId, Index, JobIx, MachineIx};
+use crate::pipeline::Job;
+use crate::topology::Topology;
+use crate::workers::{Attempt, Machine};
+
+impl PlacementContext<'_> {
+    /// Opens an attempt of a task on a machine, which starts once it is written. Returns
+    /// the chunk that has to be written, if both the job and the machine are known.
+    pub fn open_attempt(&mut self, job_ix: JobIx, task: u32, machine_ix: MachineIx) -> Option<ChunkId> {
+        let job = self.jobs.table.get_mut(job_ix)?;
+        let machine = self.workers.machines.get_mut(machine_ix)?;
+        let chunk_number = job.chunk_of(task, self.jobs.chunk_tasks);
+        let attempt = Attempt {
+            job: job_ix,
+            task,
+            number: take_attempt_number(job, chunk_number),
+            machine: machine_ix,
+            agent_epoch: machine.agent_epoch,
+            written: false,
+            writing: false,
+            observed_state: None,
+            running_since: None,
+            start_sent: None,
+            start_answered: false,
+            stop: None,
+            withdrawn: false,
+        };
+        take_task(job, task, self.now.wall_clock);
+        self.jobs.team_quotas[job.team.usize()].used.add(job.shape.resources);
+        take_room(machine, job, self.topology);
+        let attempt_ix = self.workers.attempts.insert(attempt);
+        machine.open.push(attempt_ix);
+        job.open.insert(task, attempt_ix);
+        Some(ChunkId {
+            job: job_ix,
+            number: chunk_number as u32,
+        })
+    }
+}
+
+/// The number of the next attempt in a chunk, which has to be written with it.
+fn take_attempt_number(job: &mut Job, chunk_number: usize) -> u64 {
+    let chunk = &mut job.chunks[chunk_number];
+    let number = chunk.next;
+    chunk.next += 1;
+    chunk.dirty = true;
+    number
+}
+
+/// Takes a task from those that wait.
+fn take_task(job: &mut Job, task: u32, wall_clock: Millis) {
+    job.take(task);
+    job.last_start_ms = wall_clock;
+    if job.waiting() == 0 {
+        job.short_since = None;
+        job.waiting_until = None;
+    }
+}
+
+/// Takes room on the machine, which fetches the job's image if it has not got it.
+fn take_room(machine: &mut Machine, job: &Job, topology: &Topology) {
+    machine.used.add(job.shape.resources);
+    let info = topology.type_info[machine.type_ix.usize()].as_ref();
+    let cache_gb = info.map_or(0.0, |info| info.cache_gb);
+    machine.touch(job.image, job.spec.image_gb, cache_gb);
+}
--- a/src/placement/preemption/candidates.rs
+++ b/src/placement/preemption/candidates.rs
@@ -1,11 +1,17 @@
-//! Which tasks to stop where: the choice itself, on a copy of what it needs.
+//! The machines on which tasks could be stopped, and what stopping them would lose.
 
-use crate::ids::{AttemptIx, ImageIx, MachineIx, TypeIx, ZoneIx};
+use crate::MILLIS_PER_SECOND;
+use crate::ids::{AttemptIx, ImageIx, Index, JobIx, MachineIx, TypeIx, ZoneIx};
 use crate::pipeline::Job;
-use crate::placement::FullShapes;
-use crate::resources::{Resources, Shape};
-use crate::wire::Priority;
+use crate::placement::Cluster;
+use crate::resources::Resources;
+use crate::wire::{Priority, TaskState};
+use crate::workers::Attempt;
 use std::collections::BTreeMap;
+use std::collections::btree_map::Entry;
+
+/// Tasks this short end about as soon as a stop would have freed their room.
+const SHORT_TASK_S: f64 = 5.0;
 
 /// A running task that may be stopped for one of higher priority.
 #[derive(Clone, Debug)]
@@ -24,6 +30,7 @@
     pub type_ix: TypeIx,
     pub zone: ZoneIx,
     pub spot: bool,
+    /// Images that it has cached or is fetching.
     pub images: Vec<ImageIx>,
     /// Free now, or as soon as what is being stopped has ended.
     pub free: Resources,
@@ -32,18 +39,19 @@
 }
 
 impl Candidate {
+    /// Brings the victims into the order in which they are stopped.
     pub fn sort_victims(&mut self) {
         self.victims
             .sort_by(|a, b| a.priority.cmp(&b.priority).then(a.loss.total_cmp(&b.loss)));
     }
 
     /// The loss of the first victim; none where nothing need be stopped.
-    pub fn least_loss(&self) -> f64 {
+    fn least_loss(&self) -> f64 {
         self.victims.first().map_or(0.0, |victim| victim.loss)
     }
 
-    /// How many victims have to go, the first ones, for a task to fit.
-    fn victims_needed(&self, resources: Resources, priority: Priority) -> Option<usize> {
+    /// How many victims, the first ones, have to be stopped for a task to fit.
+    pub fn victims_needed(&self, resources: Resources, priority: Priority) -> Option<usize> {
         let mut free = self.free;
         for (count, victim) in self.victims.iter().enumerate() {
             if free.fits(resources) {
@@ -58,120 +66,106 @@
     }
 }
 
-/// Like tasks of one job that need room.
-#[derive(Debug)]
-pub struct Demand {
-    shape: Shape,
-    priority: Priority,
-    image: ImageIx,
-    failed_on: Vec<MachineIx>,
-    /// `None`: any.
-    zones: Option<Vec<ZoneIx>>,
-    one_zone: bool,
-    /// Tasks for which no room is found yet.
-    pub count: u32,
-}
-
-impl Demand {
-    pub fn new(job: &Job, count: u32, zones: Option<Vec<ZoneIx>>) -> Demand {
-        Demand {
-            shape: job.shape.clone(),
-            priority: job.priority(),
-            image: job.image,
-            failed_on: job.failed_on.clone(),
-            zones,
-            one_zone: job.spec.one_zone,
-            count,
-        }
-    }
-
-    fn allows(&self, candidate: &Candidate) -> bool {
-        self.shape.allows(candidate.type_ix, candidate.zone, candidate.spot)
-            && self.zones.as_ref().is_none_or(|zones| zones.contains(&candidate.zone))
-            && !self.failed_on.contains(&candidate.machine)
-    }
-
-    fn take(&mut self, candidate: &mut Candidate) {
-        candidate.free.take(self.shape.resources);
-        self.count -= 1;
-        if self.one_zone {
-            self.zones = Some(vec![candidate.zone]);
-        }
+/// Machines on which a task could be stopped for one of these jobs, or is being
+/// stopped. The smallest loss first.
+pub fn find_candidates(cluster: &Cluster, short_jobs: &[JobIx]) -> Vec<Candidate> {
+    let short = short_jobs.iter().filter_map(|&ix| cluster.jobs.table.get(ix));
+    let mut search = CandidateSearch {
+        cluster,
+        highest_priority: short.map(Job::priority).max(),
+        by_machine: BTreeMap::new(),
+    };
+    for (_, job) in cluster.jobs.table.iter() {
+        search.add_tasks_of(job);
     }
-
-    /// Counts on the room that is there without stopping anything more.
-    fn take_free_room(&mut self, candidates: &mut [Candidate]) {
-        for candidate in candidates {
-            while self.count > 0 && candidate.free.fits(self.shape.resources) && self.allows(candidate) {
-                self.take(candidate);
-            }
-        }
+    let mut candidates: Vec<Candidate> = search.by_machine.into_values().collect();
+    for candidate in &mut candidates {
+        candidate.sort_victims();
     }
+    candidates.sort_by(|a, b| a.least_loss().total_cmp(&b.least_loss()));
+    candidates
+}
 
-    /// Stops tasks for what is still short, on machines that hold the image first.
-    fn take_victims(&mut self, candidates: &mut [Candidate], most: usize, stops: &mut Vec<AttemptIx>) {
-        for holds_image in [true, false] {
-            for candidate in &mut *candidates {
-                if self.count == 0 || stops.len() >= most {
-                    return;
-                }
-                if candidate.images.contains(&self.image) == holds_image {
-                    self.take_victims_of(candidate, most, stops);
-                }
-            }
-        }
-    }
+/// Collects candidates job by job.
+struct CandidateSearch<'a> {
+    cluster: &'a Cluster<'a>,
+    /// The highest priority among the jobs that need room.
+    highest_priority: Option<Priority>,
+    by_machine: BTreeMap<MachineIx, Candidate>,
+}
 
-    fn take_victims_of(&mut self, candidate: &mut Candidate, most: usize, stops: &mut Vec<AttemptIx>) {
-        while self.count > 0 && stops.len() < most && self.allows(candidate) {
-            let Some(needed) = candidate.victims_needed(self.shape.resources, self.priority) else {
-                return;
+impl CandidateSearch<'_> {
+    /// Adds the open tasks of a job: those being stopped as room to come, those that may
+    /// be stopped as victims.
+    fn add_tasks_of(&mut self, job: &Job) {
+        let gives_way = self.gives_way(job);
+        for &attempt_ix in job.open.values() {
+            let Some(attempt) = self.cluster.workers.attempts.get(attempt_ix) else {
+                continue;
             };
-            for victim in candidate.victims.drain(..needed) {
-                candidate.free.add(victim.resources);
-                stops.push(victim.attempt);
+            if attempt.stop.is_some() {
+                if let Some(candidate) = self.candidate_at(attempt.machine) {
+                    candidate.free.add(job.shape.resources);
+                }
+            } else if gives_way
+                && let Some(loss) = self.loss_if_stopped(job, attempt)
+                && let Some(candidate) = self.candidate_at(attempt.machine)
+            {
+                candidate.victims.push(Victim {
+                    attempt: attempt_ix,
+                    priority: job.priority(),
+                    resources: job.shape.resources,
+                    loss,
+                });
             }
-            self.take(candidate);
         }
     }
 
-    /// Whether its job alone, and not its shape, rules machines out.
-    fn is_particular(&self) -> bool {
-        self.zones.is_some() || !self.failed_on.is_empty()
+    /// Whether tasks of this job may be stopped for one of the jobs that need room.
+    fn gives_way(&self, job: &Job) -> bool {
+        Some(job.priority()) < self.highest_priority
+            && job.spec.deadline_s.is_none()
+            && job.has_slack(self.cluster.now.wall_clock)
     }
-}
 
-/// The attempts to stop for these demands, which come in order of placement. No
-/// more are begun once there are `most`.
-pub fn choose_victims(mut candidates: Vec<Candidate>, mut demands: Vec<Demand>, most: usize) -> Vec<AttemptIx> {
-    let mut full = FullShapes::default();
-    for demand in &mut demands {
-        if full.contains(&demand.shape) {
-            continue;
-        }
-        demand.take_free_room(&mut candidates);
-        if demand.count > 0 && !demand.is_particular() {
-            full.insert(&demand.shape);
+    /// CPU seconds lost by stopping a task now. `None`: too much, or not worth it.
+    fn loss_if_stopped(&self, job: &Job, attempt: &Attempt) -> Option<f64> {
+        if attempt.observed_state == Some(TaskState::Saving) || job.spec.estimate_s <= SHORT_TASK_S {
+            return None;
         }
+        let now = self.cluster.now.monotonic;
+        let ran_s = attempt
+            .running_since
+            .map_or(0.0, |since| (now - since) as f64 / MILLIS_PER_SECOND);
+        // A task that saves loses no more than the time that saving takes.
+        let lost_s = if job.spec.checkpoint_s > 0.0 {
+            ran_s.min(job.spec.save_s)
+        } else {
+            ran_s
+        };
+        (lost_s <= self.cluster.policy.preempt_lost_s).then_some(lost_s * job.shape.resources.cpus)
     }
-    let mut stops = Vec::new();
-    // For each priority: what finds nobody to stop.
-    let mut hopeless: BTreeMap<Priority, FullShapes> = BTreeMap::new();
-    for demand in &mut demands {
-        if stops.len() >= most {
-            break;
-        }
-        let hopeless = hopeless.entry(demand.priority).or_default();
-        if demand.count == 0 || hopeless.contains(&demand.shape) {
-            continue;
-        }
-        demand.take_victims(&mut candidates, most, &mut stops);
-        if demand.count > 0 && !demand.is_particular() {
-            hopeless.insert(&demand.shape);
+
+    /// The candidate of a machine, if that may be given tasks.
+    fn candidate_at(&mut self, machine_ix: MachineIx) -> Option<&mut Candidate> {
+        match self.by_machine.entry(machine_ix) {
+            Entry::Occupied(entry) => Some(entry.into_mut()),
+            Entry::Vacant(entry) => {
+                let machine = self.cluster.workers.machines.get(machine_ix)?;
+                if !machine.usable(self.cluster.now.monotonic) {
+                    return None;
+                }
+                let info = self.cluster.topology.type_info[machine.type_ix.usize()].as_ref()?;
+                Some(entry.insert(Candidate {
+                    machine: machine_ix,
+                    type_ix: machine.type_ix,
+                    zone: machine.zone,
+                    spot: machine.spot,
+                    images: machine.images.iter().map(|&(image, _)| image).collect(),
+                    free: info.resources.minus(machine.used),
+                    victims: Vec::new(),
+                }))
+            }
         }
     }
-    stops
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/placement/preemption/candidates/tests.rs
+++ b/src/placement/preemption/victims/tests.rs
@@ -1,4 +1,7 @@
+use super::super::candidates::Victim;
 use super::*;
+use crate::ids::{ImageIx, MachineIx, TypeIx, ZoneIx};
+use crate::resources::{Resources, Shape};
 use proptest::prelude::*;
 
 const IMAGE: ImageIx = ImageIx(7);
@@ -55,7 +58,7 @@
     })
 }
 
-fn demand(cpus: u32, count: u32) -> Demand {
+fn demand(cpus: u32, tasks: u32) -> Demand {
     Demand {
         shape: Shape {
             resources: resources(cpus),
@@ -67,7 +70,7 @@
         failed_on: Vec::new(),
         zones: None,
         one_zone: false,
-        count,
+        unplaced_tasks: tasks,
     }
 }
 
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -78,7 +78,7 @@
     }
 
     /// Whether both may be on the same machines, whatever they take there.
-    pub fn allows_the_same(&self, other: &Shape) -> bool {
+    pub fn allows_same_machines(&self, other: &Shape) -> bool {
         (&self.types, self.zone, self.spot) == (&other.types, other.zone, other.spot)
     }
 
