--- a/benches/costs/follower_costs.rs
+++ b/benches/costs/follower_costs.rs
@@ -14,7 +14,10 @@
 fn relayed_reports_64(bencher: Bencher) {
     let body = json_report(1_000);
     bencher.bench_local(|| {
-        let reports = (0..BATCH as u64).map(|id| (id, serde_json::from_slice(&body).expect("read")));
+        let reports = (0..BATCH as u64).map(|id| RelayedReport {
+            id,
+            report: serde_json::from_slice(&body).expect("read"),
+        });
         let message = Message::RelayReports {
             shard: "pool".into(),
             reports: reports.collect(),
@@ -24,7 +27,10 @@
             fencing_token: TERM,
             commands: Vec::new(),
         };
-        let answers = (0..BATCH as u64).map(|id| (id, ReportReply::Accepted(answer.clone())));
+        let answers = (0..BATCH as u64).map(|id| RelayedReportReply {
+            id,
+            reply: ReportReply::Accepted(answer.clone()),
+        });
         let answers = Message::ReportReplies {
             answers: answers.collect(),
         };
@@ -33,8 +39,8 @@
         let Message::ReportReplies { answers } = message else {
             unreachable!("as written");
         };
-        for (_, reply) in answers {
-            if let ReportReply::Accepted(answer) = reply {
+        for answer in answers {
+            if let ReportReply::Accepted(answer) = answer.reply {
                 black_box(serde_json::to_string(&answer).expect("written"));
             }
         }
@@ -58,8 +64,8 @@
     let message = Message::Heartbeat {
         node: "n1".into(),
         shard: "pool".into(),
-        leads_term: Some(TERM),
-        store_ok: true,
+        leading_term: Some(TERM),
+        store_reachable: true,
     };
     let frame = rmp_serde::to_vec(&message).expect("written");
     bencher.bench_local(|| {
--- a/benches/costs/main.rs
+++ b/benches/costs/main.rs
@@ -10,7 +10,7 @@
 use divan::{AllocProfiler, Bencher, black_box};
 use site::{MACHINES, Site, TERM, peer, report};
 use sumacbend::controller::{Input, Shard};
-use sumacbend::peers::{Message, ReportReply, UserRequest};
+use sumacbend::peers::{Message, RelayedReport, RelayedReportReply, ReportReply, UserRequest};
 use sumacbend::policy::Policy;
 use sumacbend::store::Keys;
 use sumacbend::wire::{Condition, ListedMachine, MachineList, MachineState, Report, ReportAnswer};
@@ -43,7 +43,10 @@
 }
 
 fn relay(first: usize, count: usize, seq: u64) -> Input {
-    let reports = (first..first + count).map(|machine| (machine as u64, report(machine % MACHINES, seq)));
+    let reports = (first..first + count).map(|machine| RelayedReport {
+        id: machine as u64,
+        report: report(machine % MACHINES, seq),
+    });
     peer(Message::RelayReports {
         shard: "pool".into(),
         reports: reports.collect(),
--- a/benches/costs/site/mod.rs
+++ b/benches/costs/site/mod.rs
@@ -166,12 +166,12 @@
         site
     }
 
-    fn heartbeat(&mut self, leads_term: Option<u64>) {
+    fn heartbeat(&mut self, leading_term: Option<u64>) {
         let message = Message::Heartbeat {
             node: "n1".into(),
             shard: "pool".into(),
-            leads_term,
-            store_ok: true,
+            leading_term,
+            store_reachable: true,
         };
         self.step(peer(message));
     }
--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -191,7 +191,7 @@
     pub(super) fn is_isolated(&self) -> bool {
         !self.peers.is_alone()
             && self.now > self.claimed_at + ISOLATED_MS
-            && self.now > self.peers.last_heard() + ISOLATED_MS
+            && self.now > self.peers.last_heard_at() + ISOLATED_MS
             && self.now > self.worker_heard_at + ISOLATED_MS
     }
 
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -4,7 +4,7 @@
 use super::{Controller, Output, SHARD, Shard, WorkerReply};
 use crate::Millis;
 use crate::ids::MachineIx;
-use crate::peers::Message;
+use crate::peers::{AddressedCommands, Message};
 use crate::wire::{Command, DirectCommands};
 use crate::workers::ReportPath;
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
     /// Direct commands in flight at once: half of what all other controllers would
     /// hold, so that one of them has room for more than its part.
     fn max_deliveries(&self) -> usize {
-        self.connections.in_flight * self.peers.in_reach_now(self.now).len().div_ceil(2).max(1)
+        self.connections.in_flight * self.peers.all_in_reach(self.now).len().div_ceil(2).max(1)
     }
 
     /// Sends what machines are due, if it is time.
@@ -51,7 +51,7 @@
             return;
         };
         let due = shard.due_commands(self.now, available);
-        let mut by_peer: BTreeMap<String, Vec<(u64, String, DirectCommands)>> = BTreeMap::new();
+        let mut by_peer: BTreeMap<String, Vec<AddressedCommands>> = BTreeMap::new();
         for due in due {
             let call = self.call();
             let (address, peer) = (due.address, self.path_to(due.relayed_by));
@@ -67,7 +67,11 @@
             };
             self.deliveries.insert(call, direct_call);
             match peer {
-                Some(node) => by_peer.entry(node).or_default().push((call, address, commands)),
+                Some(node) => by_peer.entry(node).or_default().push(AddressedCommands {
+                    id: call,
+                    address,
+                    commands,
+                }),
                 None => self.outputs.push(Output::Worker {
                     call,
                     address,
@@ -85,7 +89,7 @@
     /// The peer to hand commands to: the one that the worker reports to, or any.
     fn path_to(&mut self, relayed_by: Option<String>) -> Option<String> {
         relayed_by
-            .filter(|node| self.peers.in_reach(self.now, node))
+            .filter(|node| self.peers.is_in_reach(self.now, node))
             .or_else(|| self.next_peer())
     }
 
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -4,9 +4,11 @@
 use super::{Controller, Output, SHARD};
 use crate::Millis;
 use crate::admission::{Requester, busy};
-use crate::peers::{Answer, Message, ReportReply, WorkerReply};
-use crate::store::JobKey;
-use crate::wire::{DirectCommands, JobState, Redirect, Report};
+use crate::peers::{
+    AddressedCommands, Answer, CancelledJob, CommandReply, HeartbeatState, Message, RelayedReport, RelayedReportReply,
+    ReportReply, WorkerReply,
+};
+use crate::wire::{JobState, Redirect, Report};
 use crate::workers::{Merged, ReportPath};
 
 const RELAY_PATIENCE_MS: Millis = 3_000;
@@ -51,7 +53,7 @@
         self.next_forward += 1;
         let id = self.next_forward;
         self.relays.insert(id, (request, self.now + RELAY_PATIENCE_MS));
-        self.reports_to_relay.push((id, report));
+        self.reports_to_relay.push(RelayedReport { id, report });
     }
 
     /// A report that came to the leader itself. Its processor is the scarcest, so
@@ -77,7 +79,7 @@
 
     /// The controllers in reach, one after the other.
     pub(super) fn next_peer(&mut self) -> Option<String> {
-        let peers = self.peers.in_reach_now(self.now);
+        let peers = self.peers.all_in_reach(self.now);
         self.next_path = self.next_path.wrapping_add(1);
         let node = *peers.get(self.next_path % peers.len().max(1))?;
         Some(node.to_owned())
@@ -107,15 +109,22 @@
     /// A worker's answer to direct commands, our own or those held for a leader.
     pub(super) fn on_worker_reply(&mut self, call: u64, reply: WorkerReply) {
         match self.delegated_deliveries.remove(&call) {
-            Some((node, id)) => self.delivery_replies.entry(node).or_default().push((id, reply)),
+            Some((node, id)) => self
+                .delivery_replies
+                .entry(node)
+                .or_default()
+                .push(CommandReply { id, reply }),
             None => self.worker_reply(call, reply),
         }
     }
 
-    fn deliver_for_leader(&mut self, node: String, commands: Vec<(u64, String, DirectCommands)>) {
-        for (id, address, commands) in commands {
+    fn deliver_for_leader(&mut self, node: String, commands: Vec<AddressedCommands>) {
+        for AddressedCommands { id, address, commands } in commands {
             if self.delegated_deliveries.len() >= self.connections.in_flight {
-                let refused = (id, WorkerReply::NotDelivered);
+                let refused = CommandReply {
+                    id,
+                    reply: WorkerReply::NotDelivered,
+                };
                 self.delivery_replies.entry(node.clone()).or_default().push(refused);
                 continue;
             }
@@ -148,7 +157,7 @@
                     }
                 }
                 None => {
-                    for (id, _) in reports {
+                    for RelayedReport { id, .. } in reports {
                         if let Some((request, _)) = self.relays.remove(&id) {
                             self.answer_worker(request, ReportReply::Redirected(None));
                         }
@@ -173,12 +182,19 @@
         match message {
             Message::Heartbeat {
                 shard,
-                leads_term,
-                store_ok,
+                leading_term,
+                store_reachable,
                 ..
             } => {
-                let leads_term = leads_term.filter(|_| shard == SHARD);
-                self.peers.heartbeat(self.now, &node, leads_term, store_ok);
+                let leading_term = leading_term.filter(|_| shard == SHARD);
+                self.peers.on_heartbeat(
+                    self.now,
+                    &node,
+                    HeartbeatState {
+                        leading_term,
+                        store_reachable,
+                    },
+                );
             }
             Message::ForwardRequest {
                 shard,
@@ -210,40 +226,46 @@
             Message::RelayReports { reports, .. } => {
                 let answers = reports
                     .into_iter()
-                    .map(|(id, report)| {
+                    .map(|RelayedReport { id, report }| {
                         let answer = self.answer_report(&report, Some(&node));
                         let reply = answer.map_or(ReportReply::Redirected(None), ReportReply::Accepted);
-                        (id, reply)
+                        RelayedReportReply { id, reply }
                     })
                     .collect();
                 let message = Message::ReportReplies { answers };
                 self.outputs.push(Output::Peer { node, message });
             }
             Message::ReportReplies { answers } => {
-                for (id, reply) in answers {
+                for RelayedReportReply { id, reply } in answers {
                     if let Some((request, _)) = self.relays.remove(&id) {
                         self.answer_worker(request, reply);
                     }
                 }
             }
             Message::RequestLeaseExtension {
-                term, asked, revision, ..
-            } => self.on_extension_request(node, term, asked, revision),
-            Message::GrantLeaseExtension { term, asked, cancelled } => {
+                term,
+                requested_at,
+                watch_revision,
+                ..
+            } => self.on_extension_request(node, term, requested_at, watch_revision),
+            Message::GrantLeaseExtension {
+                term,
+                requested_at,
+                cancelled_jobs,
+            } => {
                 if term == self.election.term {
-                    self.on_extension_grant(&node, asked, cancelled);
+                    self.on_extension_grant(&node, requested_at, cancelled_jobs);
                 }
             }
             Message::DeliverCommands { commands, .. } => self.deliver_for_leader(node, commands),
             Message::CommandReplies { replies } => {
-                for (id, reply) in replies {
+                for CommandReply { id, reply } in replies {
                     self.worker_reply(id, reply);
                 }
             }
             Message::TaskCounts { shard, counts } => {
                 if shard == SHARD {
-                    let counts = counts.into_iter().map(|(id, done, running)| (id, (done, running)));
-                    self.peers.counts = counts.collect();
+                    self.peers.set_task_counts(counts);
                 }
             }
         }
@@ -251,26 +273,36 @@
 
     /// The leader can't reach the state service. If nor can we, and we know what
     /// was cancelled, we promise not to claim, and tell it of what it may not know.
-    fn on_extension_request(&mut self, node: String, term: u64, asked: u64, revision: u64) {
+    fn on_extension_request(&mut self, node: String, term: u64, requested_at: u64, watch_revision: u64) {
         let out = self.store_failed_at > self.store_ok_at;
         if !out || !self.watch_cache.complete {
             return;
         }
         let newer = self.watch_cache.jobs().values();
-        let newer = newer.filter(|(key, version)| *version > revision && key.ended == Some(JobState::Cancelled));
-        let cancelled: Vec<_> = newer.take(MAX_CANCELLED + 1).cloned().collect();
-        if cancelled.len() <= MAX_CANCELLED && self.election.grant_extension(self.now) {
-            let message = Message::GrantLeaseExtension { term, asked, cancelled };
+        let newer = newer.filter(|(key, version)| *version > watch_revision && key.ended == Some(JobState::Cancelled));
+        let cancelled_jobs: Vec<_> = newer
+            .take(MAX_CANCELLED + 1)
+            .map(|(key, version)| CancelledJob {
+                key: key.clone(),
+                version: *version,
+            })
+            .collect();
+        if cancelled_jobs.len() <= MAX_CANCELLED && self.election.grant_extension(self.now) {
+            let message = Message::GrantLeaseExtension {
+                term,
+                requested_at,
+                cancelled_jobs,
+            };
             self.outputs.push(Output::Peer { node, message });
         }
     }
 
     /// What was cancelled through others is stopped before their promise counts.
-    fn on_extension_grant(&mut self, node: &str, asked: Millis, cancelled: Vec<(JobKey, u64)>) {
+    fn on_extension_grant(&mut self, node: &str, requested_at: Millis, cancelled_jobs: Vec<CancelledJob>) {
         if !self.election.is_acting_leader(self.now) {
             return;
         }
-        for (key, version) in cancelled {
+        for CancelledJob { key, version } in cancelled_jobs {
             let id = key.spec.id.clone();
             let known = self.watch_cache.jobs().get(&id);
             if version > self.watch_cache.revision && known.is_none_or(|&(_, known)| known < version) {
@@ -278,9 +310,9 @@
                 self.job_changed(&id);
             }
         }
-        self.peers.extension_granted(node, asked);
-        if let Some(asked) = self.peers.all_granted_at() {
-            self.election.lease_extended(self.now, asked);
+        self.peers.extension_granted(node, requested_at);
+        if let Some(requested_at) = self.peers.extension_granted_by_all() {
+            self.election.lease_extended(self.now, requested_at);
         }
     }
 
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -3,7 +3,7 @@
 
 use super::{Controller, Purpose, SHARD};
 use crate::Millis;
-use crate::peers::Message;
+use crate::peers::{JobTaskCounts, Message};
 use crate::store::StoreRequest;
 use crate::wire::{Change, Report, ReportAnswer, Transaction};
 use crate::workers::{Merged, ReportPath};
@@ -167,9 +167,11 @@
             .iter()
             .filter(|(_, job)| job.ended.is_none())
             .filter_map(|(_, job)| {
-                shard
-                    .counts(&job.id)
-                    .map(|(done, running)| (job.id.clone(), done, running))
+                shard.counts(&job.id).map(|(done, running)| JobTaskCounts {
+                    job: job.id.clone(),
+                    done,
+                    running,
+                })
             })
             .take(MAX_COUNTS)
             .collect();
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -21,7 +21,7 @@
 use crate::admission::Admission;
 use crate::election::{LeaderElection, LeaseRequest};
 pub use crate::peers::WorkerReply;
-use crate::peers::{Answer, Message, Peers, UserRequest};
+use crate::peers::{Answer, CommandReply, Message, PeerLinks, RelayedReport, UserRequest};
 use crate::policy::Policy;
 use crate::settings::{Connections, Settings};
 use crate::store::{Keys, StoreReply, StoreRequest, TokenBucket, WatchCache};
@@ -162,7 +162,7 @@
     watch_cache: WatchCache,
     catalogue: Option<Catalogue>,
     admission: Admission,
-    peers: Peers,
+    peers: PeerLinks,
     shard: Option<Shard>,
 
     queue: VecDeque<Queued>,
@@ -208,12 +208,12 @@
     next_forward: u64,
     relays: BTreeMap<u64, (u64, Millis)>,
     /// Reports to relay to the leader, and when that was last done.
-    reports_to_relay: Vec<(u64, Report)>,
+    reports_to_relay: Vec<RelayedReport>,
     relayed_at: Millis,
     connections: Connections,
     /// Commands taken over from a leader, by our call: who asked, and its id.
     delegated_deliveries: BTreeMap<u64, (String, u64)>,
-    delivery_replies: BTreeMap<String, Vec<(u64, WorkerReply)>>,
+    delivery_replies: BTreeMap<String, Vec<CommandReply>>,
     /// Workers that this controller sent on lately, and when old ones were forgotten.
     redirected: BTreeMap<String, follower::RedirectedWorker>,
     redirected_at: Millis,
@@ -234,7 +234,7 @@
             watch_cache: WatchCache::default(),
             catalogue: None,
             admission: Admission::default(),
-            peers: Peers::new(nodes),
+            peers: PeerLinks::new(nodes),
             shard: None,
             queue: VecDeque::new(),
             calls: BTreeMap::new(),
@@ -311,19 +311,18 @@
     }
 
     fn tick(&mut self) {
-        if self.now >= self.peers.heartbeat_at + crate::peers::HEARTBEAT_EVERY_MS {
-            self.peers.heartbeat_at = self.now;
+        if self.peers.take_heartbeat_due(self.now) {
             let message = Message::Heartbeat {
                 node: self.settings.node.clone(),
                 shard: SHARD.into(),
-                leads_term: self.leads().then_some(self.election.term),
-                store_ok: self.store_ok(),
+                leading_term: self.leads().then_some(self.election.term),
+                store_reachable: self.store_ok(),
             };
             self.broadcast(&message);
         }
         self.request_lease_extension();
         let wants = self.with_admission(|admission, context, peers| {
-            admission.tick(context, &|node| peers.in_reach(context.now, node))
+            admission.tick(context, &|node| peers.is_in_reach(context.now, node))
         });
         self.apply_effects(wants);
         self.follower_tick();
@@ -363,8 +362,8 @@
         let message = Message::RequestLeaseExtension {
             shard: SHARD.into(),
             term: self.election.term,
-            asked: self.now,
-            revision: self.watch_cache.revision,
+            requested_at: self.now,
+            watch_revision: self.watch_cache.revision,
         };
         self.broadcast(&message);
     }
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -2,12 +2,15 @@
 
 use super::{Controller, Output, Purpose, SHARD};
 use crate::admission::{Admission, AdmissionContext, Requester, Want};
-use crate::peers::{Message, Peers, UserRequest};
+use crate::peers::{Message, PeerLinks, UserRequest};
 use crate::store::StoreRequest;
 use crate::wire::JobSpec;
 
 impl Controller {
-    pub(super) fn with_admission<T>(&mut self, act: impl FnOnce(&mut Admission, &AdmissionContext, &Peers) -> T) -> T {
+    pub(super) fn with_admission<T>(
+        &mut self,
+        act: impl FnOnce(&mut Admission, &AdmissionContext, &PeerLinks) -> T,
+    ) -> T {
         let claim = self
             .election
             .is_acting_leader(self.now)
@@ -21,7 +24,7 @@
         let (shard, peers) = (&self.shard, &self.peers);
         let counts = |id: &str| match shard {
             Some(shard) => shard.counts(id),
-            None => peers.counts.get(id).copied(),
+            None => peers.task_counts(id),
         };
         let context = AdmissionContext {
             now: self.now,
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -15,8 +15,8 @@
     let beat = Message::Heartbeat {
         node: node.clone(),
         shard: SHARD.into(),
-        leads_term: Some(3),
-        store_ok: true,
+        leading_term: Some(3),
+        store_reachable: true,
     };
     let message = Box::new(beat);
     controller.step(now, Input::Peer { message, node });
@@ -48,8 +48,8 @@
     let beat = Message::Heartbeat {
         node: node.clone(),
         shard: SHARD.into(),
-        leads_term: None,
-        store_ok: true,
+        leading_term: None,
+        store_reachable: true,
     };
     let mut controller = Controller::new(settings, Policy::default(), 7);
     let mut monotonic = 1_000_000;
@@ -168,12 +168,12 @@
         });
         calls.max().expect("asked")
     };
-    let hold = |revision| {
+    let hold = |watch_revision| {
         let message = Message::RequestLeaseExtension {
             shard: SHARD.into(),
             term: 3,
-            asked: 5,
-            revision,
+            requested_at: 5,
+            watch_revision,
         };
         Input::Peer {
             message: Box::new(message),
@@ -183,9 +183,14 @@
     let held = |outputs: Vec<Output>| {
         outputs.into_iter().find_map(|output| match output {
             Output::Peer {
-                message: Message::GrantLeaseExtension { term, asked, cancelled },
+                message:
+                    Message::GrantLeaseExtension {
+                        term,
+                        requested_at,
+                        cancelled_jobs,
+                    },
                 ..
-            } => Some((term, asked, cancelled)),
+            } => Some((term, requested_at, cancelled_jobs)),
             _ => None,
         })
     };
@@ -204,7 +209,10 @@
     let call = call(&outputs);
     let reply = StoreReply::Unavailable;
     step(&mut controller, Input::Store { call, reply });
-    assert_eq!(held(step(&mut controller, hold(8))), Some((3, 5, vec![(key, 9)])));
+    assert_eq!(
+        held(step(&mut controller, hold(8))),
+        Some((3, 5, vec![crate::peers::CancelledJob { key, version: 9 }]))
+    );
     assert_eq!(held(step(&mut controller, hold(9))), Some((3, 5, Vec::new())));
 }
 
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -120,7 +120,7 @@
                 }
                 WatchedChange::Job(id) => self.job_changed(&id),
                 WatchedChange::JobGone(id) => {
-                    self.peers.counts.remove(&id);
+                    self.peers.forget_task_counts(&id);
                     if let Some(shard) = &mut self.shard {
                         shard.jobs.deleted_jobs.push(id);
                     }
--- a/src/runtime/peer_links/tests.rs
+++ b/src/runtime/peer_links/tests.rs
@@ -14,8 +14,8 @@
     Message::Heartbeat {
         node: node.into(),
         shard: "pool".into(),
-        leads_term: None,
-        store_ok: true,
+        leading_term: None,
+        store_reachable: true,
     }
 }
 
--- a/tests/golden/frames.rs
+++ b/tests/golden/frames.rs
@@ -77,19 +77,19 @@
     let heartbeat = Message::Heartbeat {
         node: "stall-0".into(),
         shard: "pool".into(),
-        leads_term: Some(41),
-        store_ok: true,
+        leading_term: Some(41),
+        store_reachable: true,
     };
     let hold = Message::RequestLeaseExtension {
         shard: "pool".into(),
         term: 41,
-        asked: 123_456,
-        revision: 789,
+        requested_at: 123_456,
+        watch_revision: 789,
     };
     let held = Message::GrantLeaseExtension {
         term: 41,
-        asked: 123_456,
-        cancelled: Vec::new(),
+        requested_at: 123_456,
+        cancelled_jobs: Vec::new(),
     };
     for (message, name, line) in [
         (heartbeat, "frames/heartbeat.txt", 0),
