--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -21,8 +21,8 @@
         let Some((leader, version)) = &self.watch_cache.leader else {
             return;
         };
-        if self.election.holds_claim() && leader.term > self.election.term {
-            tracing::warn!(by = leader.node, version, "another controller leads the shard");
+        if self.election.holds_claim() && leader.term > self.election.term() {
+            tracing::warn!(leader = leader.node, version, "lost the shard to another controller");
             self.step_down(0);
         }
     }
@@ -39,12 +39,12 @@
     }
 
     pub(super) fn granted(&mut self, reply: StoreReply) {
-        if self.election.phase != Phase::RequestingLease {
+        if self.election.phase() != Phase::RequestingLease {
             return;
         }
         match reply {
             StoreReply::Granted { lease } => {
-                let sent = self.election.asked_at();
+                let sent = self.election.lease_requested_at();
                 match self.election.granted(lease, sent, &self.keys, &self.watch_cache) {
                     Some(transaction) => self.send_claim(transaction),
                     None => self.step_down(0),
@@ -55,7 +55,7 @@
     }
 
     pub(super) fn claim_answered(&mut self, transaction: Arc<Transaction>, sent: Millis, reply: StoreReply) {
-        if self.election.phase != Phase::Claiming {
+        if self.election.phase() != Phase::Claiming {
             return;
         }
         match reply {
@@ -93,7 +93,7 @@
         self.queue.retain(|queued| !is_of_one_term(&queued.purpose));
         self.cloud.forget();
         self.deliveries.clear();
-        let mut shard = Shard::new(SHARD, self.election.term, &self.settings, &self.policy);
+        let mut shard = Shard::new(SHARD, self.election.term(), &self.settings, &self.policy);
         if let Some(catalogue) = &self.catalogue {
             shard.set_catalogue(catalogue);
         }
@@ -106,11 +106,11 @@
     /// to see the new fencing token.
     pub(super) fn term_raised(&mut self) {
         self.raising_term = false;
-        self.election.phase = Phase::Active;
+        self.election.activate();
         let Some(shard) = &mut self.shard else {
             return;
         };
-        shard.term = self.election.term;
+        shard.term = self.election.term();
         let unconfirmed = shard
             .workers
             .machines
@@ -125,12 +125,12 @@
         match reply {
             StoreReply::Renewed => {
                 self.election.renewed(self.now, sent);
-                if self.election.suspended {
+                if self.election.is_suspended() {
                     self.sync(0);
                 }
             }
             StoreReply::LeaseGone if self.election.holds_claim() => {
-                tracing::warn!("the lease expired");
+                tracing::warn!(term = self.election.term(), "lost the lease: it expired");
                 self.step_down(0);
             }
             _ => self.election.renewal_failed(self.now),
@@ -147,7 +147,7 @@
         }
         let claim = self.watch_cache.leader.as_ref();
         let ours = claim.is_some_and(|(leader, version)| {
-            self.election.is_current_claim(leader) && *version == self.election.claim_version
+            self.election.is_current_claim(leader) && *version == self.election.claim_version()
         });
         if ours {
             self.election.resume();
@@ -157,7 +157,7 @@
     }
 
     pub(super) fn claim_checked(&mut self, reply: StoreReply) {
-        if self.election.phase != Phase::Claiming {
+        if self.election.phase() != Phase::Claiming {
             return;
         }
         match reply {
@@ -182,7 +182,7 @@
             matches!(request, StoreRequest::Transact(transaction) if transaction.conditions.contains(&condition));
         let lost = present && self.election.holds_claim() && failed.contains(&condition.key);
         if lost {
-            tracing::warn!(term = self.election.term, "lost the claim");
+            tracing::warn!(term = self.election.term(), "lost the claim");
             self.step_down(0);
         }
         lost
@@ -202,7 +202,7 @@
         };
         let wanted = self.reload_wanted || shard.workers.needs_higher_term;
         // Claiming gives up what the others promised, and can't succeed in an outage.
-        if !wanted || !self.election.lease_valid(self.now) || self.now < self.term_raised_at + RAISE_TERM_EVERY_MS {
+        if !wanted || !self.election.is_lease_valid(self.now) || self.now < self.term_raised_at + RAISE_TERM_EVERY_MS {
             return false;
         }
         // What is in flight depends on the claim as it is.
@@ -211,7 +211,7 @@
             return false;
         }
         shard.workers.needs_higher_term = false;
-        tracing::info!(term = self.election.term, "raising the term");
+        tracing::info!(term = self.election.term(), "raising the term");
         let transaction = self.election.raise_term(&self.keys, &self.watch_cache);
         self.send_claim(transaction);
         true
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -1,6 +1,5 @@
 use super::super::{Output, shard_with};
 use super::*;
-use crate::election::Phase;
 use crate::policy::Policy;
 use crate::settings::{Settings, tests::SAMPLE};
 use crate::wire::JobState;
@@ -22,7 +21,7 @@
     shard.place(START);
     controller.now = START;
     controller.shard = Some(shard);
-    controller.election.phase = Phase::Active;
+    controller.election.activate();
     controller.commit();
     controller.send_queued();
     let first = sent(&std::mem::take(&mut controller.outputs), true);
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -56,13 +56,13 @@
             let call = self.call();
             let (address, peer) = (due.address, self.path_to(due.relayed_by));
             let commands = DirectCommands {
-                fencing_token: self.election.term,
+                fencing_token: self.election.term(),
                 agent_epoch: due.agent_epoch,
                 commands: due.commands,
             };
             let direct_call = DirectCall {
                 name: due.name,
-                term: self.election.term,
+                term: self.election.term(),
                 sent: self.now,
             };
             self.deliveries.insert(call, direct_call);
--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -253,7 +253,7 @@
                 requested_at,
                 cancelled_jobs,
             } => {
-                if term == self.election.term {
+                if term == self.election.term() {
                     self.on_extension_grant(&node, requested_at, cancelled_jobs);
                 }
             }
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -27,7 +27,10 @@
             return;
         }
         if self.is_isolated() {
-            tracing::warn!("resigning: no controller and no worker in reach");
+            tracing::warn!(
+                term = self.election.term(),
+                "resigned: no controller and no worker in reach"
+            );
             let transaction = Transaction {
                 conditions: vec![self.election.condition(&self.keys)],
                 changes: vec![Change::delete(self.keys.leader())],
@@ -81,7 +84,7 @@
             shard.place(self.now);
             // On promises alone nothing can be written, and so nothing started in
             // place of what would be stopped.
-            if self.election.lease_valid(self.now) {
+            if self.election.is_lease_valid(self.now) {
                 shard.preempt(self.now);
             }
         }
@@ -109,8 +112,8 @@
                 // Somebody claimed after us, whatever our lease says.
                 tracing::warn!(
                     fencing_token = report.fencing_token,
-                    term = self.election.term,
-                    "stepping down: a worker has seen a higher fencing token"
+                    term = self.election.term(),
+                    "lost the shard: a worker has seen a higher fencing token"
                 );
                 self.step_down(1_000);
                 self.watch_cache.restart();
@@ -124,7 +127,7 @@
     /// `relayed_by`: the peer that relayed it, if one did.
     pub(super) fn answer_report(&mut self, report: &Report, relayed_by: Option<&str>) -> Option<ReportAnswer> {
         let merged = self.merge_worker_report(report, ReportPath::Heartbeat)?;
-        let (now, fencing_token) = (self.now, self.election.term);
+        let (now, fencing_token) = (self.now, self.election.term());
         let shard = self.shard.as_mut()?;
         if let Merged::Newest(ix) = merged
             && let Some(machine) = shard.workers.machines.get_mut(ix)
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -19,7 +19,7 @@
 pub use shard::tests::shard_with;
 
 use crate::admission::Admission;
-use crate::election::{LeaderElection, LeaseRequest};
+use crate::election::{Connectivity, LeaderElection, LeaseRequest};
 pub use crate::peers::WorkerReply;
 use crate::peers::{Answer, CommandReply, Message, PeerLinks, RelayedReport, UserRequest};
 use crate::policy::Policy;
@@ -315,7 +315,7 @@
             let message = Message::Heartbeat {
                 node: self.settings.node.clone(),
                 shard: SHARD.into(),
-                leading_term: self.leads().then_some(self.election.term),
+                leading_term: self.leads().then_some(self.election.term()),
                 store_reachable: self.store_ok(),
             };
             self.broadcast(&message);
@@ -340,8 +340,12 @@
     }
 
     fn advance_election(&mut self) {
-        let others = self.peers.is_alone() || self.peers.any_in_reach(self.now);
-        match self.election.poll(self.now, &self.watch_cache, others) {
+        let connectivity = if self.peers.is_alone() || self.peers.any_in_reach(self.now) {
+            Connectivity::Connected
+        } else {
+            Connectivity::Isolated
+        };
+        match self.election.poll(self.now, &self.watch_cache, connectivity) {
             Some(LeaseRequest::Grant) => {
                 let ttl_ms = crate::election::LEASE_MS;
                 self.enqueue(Purpose::Grant, StoreRequest::Grant { ttl_ms });
@@ -356,12 +360,12 @@
     /// Where the state service can't be reached, the others may promise not to
     /// claim meanwhile.
     fn request_lease_extension(&mut self) {
-        if !self.election.wants_lease_extension(self.now) {
+        if !self.election.take_extension_request_due(self.now) {
             return;
         }
         let message = Message::RequestLeaseExtension {
             shard: SHARD.into(),
-            term: self.election.term,
+            term: self.election.term(),
             requested_at: self.now,
             watch_revision: self.watch_cache.revision,
         };
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -96,7 +96,7 @@
     /// for users. What is left over is the reserve for leases and claims.
     pub(super) fn budget(&self) -> (f64, f64, f64) {
         let nodes = self.settings.peers.len() as f64 + 1.0;
-        if self.election.phase == Phase::Follower {
+        if self.election.phase() == Phase::Follower {
             (0.4 / nodes, 0.05 / nodes, 0.15 / nodes)
         } else if self.queue.iter().any(Queued::is_users_write) {
             // A wave of submissions: what is being started, ended and cleaned up
--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -23,7 +23,7 @@
     }
 
     pub(super) fn load_answered(&mut self, part: Loading, request: &StoreRequest, reply: StoreReply) {
-        if self.election.phase != Phase::Loading {
+        if self.election.phase() != Phase::Loading {
             return;
         }
         if matches!(reply, StoreReply::Page(_) | StoreReply::Log(_)) {
@@ -101,19 +101,19 @@
         // Asking each machine straight away spares a report interval.
         shard.workers.delivery_due.extend(shard.workers.machines.indices());
         tracing::info!(
-            term = self.election.term,
+            term = self.election.term(),
             jobs = shard.jobs.table.len(),
             machines = shard.workers.machines.len(),
             took_ms = self.now - self.loading_since,
             "took over the shard"
         );
-        self.election.phase = Phase::Active;
+        self.election.activate();
         self.place_wanted = true;
     }
 
     /// Loading goes on as long as answers come.
     pub(super) fn give_up_loading(&mut self) {
-        if self.election.phase == Phase::Loading && self.now > self.load_heard_at + LOAD_PATIENCE_MS {
+        if self.election.phase() == Phase::Loading && self.now > self.load_heard_at + LOAD_PATIENCE_MS {
             self.step_down(500);
         }
     }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,5 +1,4 @@
 use super::*;
-use crate::election::Phase;
 use crate::settings::tests::SAMPLE;
 use crate::wire::JobSpec;
 
@@ -222,7 +221,7 @@
 fn users_writes_get_more_of_the_rate_while_they_wait() {
     let settings = Settings::parse(SAMPLE).expect("valid settings");
     let mut controller = Controller::new(settings, Policy::default(), 7);
-    controller.election.phase = Phase::Active;
+    controller.election.activate();
     let (_, own_before, users_before) = controller.budget();
     let transaction = Transaction::default();
     controller.enqueue(Purpose::Write(1), StoreRequest::Transact(transaction.into()));
--- a/src/election/tests.rs
+++ b/src/election/tests.rs
@@ -1,19 +1,28 @@
-#![allow(clippy::field_reassign_with_default)]
-
+use super::extension::REQUEST_AFTER_MS;
+use super::phase::ISOLATED_CLAIM_DELAY_MS;
 use super::*;
+use crate::store::{Keys, LeaderValue, WatchCache};
 
 const AGE_MS: Millis = 5_000;
 
-fn claimed(sent: Millis) -> (LeaderElection, Keys, WatchCache) {
-    let keys = Keys::new("pool");
+fn complete_watch_cache() -> WatchCache {
     let mut watch_cache = WatchCache::default();
     watch_cache.complete = true;
+    watch_cache
+}
+
+fn claimed(sent: Millis) -> (LeaderElection, Keys, WatchCache) {
+    let keys = Keys::new("pool");
+    let watch_cache = complete_watch_cache();
     let mut election = LeaderElection::new("a", 1, AGE_MS);
     election.watch_cache_read(sent + LEASE_MS);
-    assert_eq!(election.poll(sent, &watch_cache, true), Some(LeaseRequest::Grant));
+    assert_eq!(
+        election.poll(sent, &watch_cache, Connectivity::Connected),
+        Some(LeaseRequest::Grant)
+    );
     assert!(election.granted(9, sent, &keys, &watch_cache).is_some());
     election.claimed(5);
-    election.phase = Phase::Active;
+    election.activate();
     (election, keys, watch_cache)
 }
 
@@ -27,7 +36,7 @@
     // Guards against acting again on a renewal alone: after an expiry another
     // controller may have claimed and lost the shard in between.
     let expired = 2_000 + LEASE_MS;
-    election.poll(expired, &watch_cache, true);
+    election.poll(expired, &watch_cache, Connectivity::Connected);
     election.renewed(expired + 1, expired);
     assert!(!election.is_acting_leader(expired + 1));
     // Nor is a read from before the renewal enough, or an old watch cache.
@@ -48,20 +57,22 @@
     election.renewed(old - 1, old - 1);
     assert!(election.is_acting_leader(old - 1));
     assert!(!election.is_acting_leader(old));
-    assert_eq!(election.poll(old, &watch_cache, true), None);
+    assert_eq!(election.poll(old, &watch_cache, Connectivity::Connected), None);
     election.watch_cache_read(old);
-    assert_eq!(election.poll(old + 1, &watch_cache, true), Some(LeaseRequest::Renew(9)));
+    assert_eq!(
+        election.poll(old + 1, &watch_cache, Connectivity::Connected),
+        Some(LeaseRequest::Renew(9))
+    );
     assert!(!election.is_acting_leader(old + 1));
 }
 
 #[test]
 fn a_controller_that_hears_nobody_lets_others_claim_first() {
-    let mut watch_cache = WatchCache::default();
-    watch_cache.complete = true;
+    let watch_cache = complete_watch_cache();
     let mut election = LeaderElection::new("a", 1, AGE_MS);
-    assert_eq!(election.poll(0, &watch_cache, false), None);
+    assert_eq!(election.poll(0, &watch_cache, Connectivity::Isolated), None);
     assert_eq!(
-        election.poll(ALONE_DELAY_MS, &watch_cache, false),
+        election.poll(ISOLATED_CLAIM_DELAY_MS, &watch_cache, Connectivity::Isolated),
         Some(LeaseRequest::Grant)
     );
 }
@@ -87,35 +98,37 @@
 fn a_leader_acts_as_long_as_all_others_promise_not_to_claim() {
     let (mut election, _, watch_cache) = claimed(0);
     let expire = LEASE_MS - MARGIN_MS;
-    assert!(!election.wants_lease_extension(EXTENSION_AFTER_MS - MARGIN_MS - 1));
-    assert!(election.wants_lease_extension(expire - 500));
-    assert!(!election.wants_lease_extension(expire - 499));
+    assert!(!election.take_extension_request_due(REQUEST_AFTER_MS - MARGIN_MS - 1));
+    assert!(election.take_extension_request_due(expire - 500));
+    assert!(!election.take_extension_request_due(expire - 499));
     election.lease_extended(expire - 100, expire - 500);
     let until = expire - 500 + EXTENSION_MS;
     assert!(election.is_acting_leader(until - 1));
-    assert!(!election.lease_valid(until - 1));
+    assert!(!election.is_lease_valid(until - 1));
     assert!(!election.is_acting_leader(until));
     // Late promises revive nothing: another may have been the leader meanwhile.
     election.lease_extended(until + 10, until + 5);
     assert!(!election.is_acting_leader(until + 10));
-    election.poll(until + 10, &watch_cache, true);
+    election.poll(until + 10, &watch_cache, Connectivity::Connected);
     assert!(!election.grant_extension(until + 10), "it may still be the leader");
 }
 
 #[test]
 fn a_controller_that_promised_does_not_claim_nor_does_its_next_life() {
-    let mut watch_cache = WatchCache::default();
-    watch_cache.complete = true;
+    let mut watch_cache = complete_watch_cache();
     watch_cache.term = (3, 8);
     let mut election = LeaderElection::new("a", 1, AGE_MS);
     let settled = EXTENSION_MS + MARGIN_MS;
     // A former incarnation may have promised just before this one began.
-    assert_eq!(election.poll(0, &watch_cache, true), None);
-    assert_eq!(election.poll(settled - 1, &watch_cache, true), None);
+    assert_eq!(election.poll(0, &watch_cache, Connectivity::Connected), None);
+    assert_eq!(election.poll(settled - 1, &watch_cache, Connectivity::Connected), None);
     assert!(election.grant_extension(settled - 1));
-    assert_eq!(election.poll(2 * settled - 2, &watch_cache, true), None);
     assert_eq!(
-        election.poll(2 * settled - 1, &watch_cache, true),
+        election.poll(2 * settled - 2, &watch_cache, Connectivity::Connected),
+        None
+    );
+    assert_eq!(
+        election.poll(2 * settled - 1, &watch_cache, Connectivity::Connected),
         Some(LeaseRequest::Grant)
     );
     assert!(!election.grant_extension(2 * settled), "it is about to claim");
@@ -127,10 +140,12 @@
 #[test]
 fn nobody_claims_over_a_claim_seen_while_the_lease_was_asked_for() {
     let keys = Keys::new("pool");
-    let mut watch_cache = WatchCache::default();
-    watch_cache.complete = true;
+    let mut watch_cache = complete_watch_cache();
     let mut election = LeaderElection::new("a", 1, AGE_MS);
-    assert_eq!(election.poll(0, &watch_cache, true), Some(LeaseRequest::Grant));
+    assert_eq!(
+        election.poll(0, &watch_cache, Connectivity::Connected),
+        Some(LeaseRequest::Grant)
+    );
     let claim = |node: &str, incarnation| LeaderValue {
         node: node.into(),
         incarnation,
