--- a/src/controller/follower.rs
+++ b/src/controller/follower.rs
@@ -306,7 +306,7 @@
             let id = key.spec.id.clone();
             let known = self.watch_cache.jobs().get(&id);
             if version > self.watch_cache.revision && known.is_none_or(|&(_, known)| known < version) {
-                self.watch_cache.learn(&id, key, version);
+                self.watch_cache.record_job(&id, key, version);
                 self.job_changed(&id);
             }
         }
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -67,7 +67,7 @@
                 Want::Learned { id, key, revision } => {
                     // The watch may have been faster, even to the job's end.
                     if revision > self.watch_cache.revision {
-                        self.watch_cache.learn(&id, key, revision);
+                        self.watch_cache.record_job(&id, key, revision);
                         self.job_changed(&id);
                     }
                 }
--- a/src/memory/tests.rs
+++ b/src/memory/tests.rs
@@ -25,7 +25,7 @@
     let mut watched = WatchCache::default();
     while has_room_for(&limits, &watched, tasks) {
         let number = watched.jobs().len();
-        watched.learn(&format!("j-{number}"), job(number, tasks), 1);
+        watched.record_job(&format!("j-{number}"), job(number, tasks), 1);
     }
     watched.jobs().len()
 }
@@ -46,7 +46,7 @@
 #[test]
 fn a_job_learned_twice_counts_once() {
     let mut watched = WatchCache::default();
-    watched.learn("j-1", job(1, 10), 1);
-    watched.learn("j-1", job(1, 30), 2);
+    watched.record_job("j-1", job(1, 10), 1);
+    watched.record_job("j-1", job(1, 30), 2);
     assert_eq!((watched.jobs().len(), watched.tasks()), (1, 30));
 }
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -1,58 +1,79 @@
-use super::Keys;
-use crate::wire::{Event, JobSpec, JobState, Page};
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
-
-/// The claim of a shard's leader.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaderValue {
-    pub node: String,
-    /// Tells one incarnation of a process from the next.
-    #[serde(rename = "life")]
-    pub incarnation: u64,
-    pub term: u64,
-}
+//! The watch cache: a copy of the watched keys, kept by every controller.
 
-/// The value of a job key: the job, when it was accepted (time of day), and,
-/// from its end until everything else of it is cleaned up, how it ended.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct JobKey {
-    pub spec: JobSpec,
-    pub accepted_ms: u64,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ended: Option<JobState>,
-}
+use super::{JobKey, Keys, LeaderValue};
+use crate::wire::{Event, Page};
+use serde_json::Value;
+use std::collections::BTreeMap;
 
+/// A change of the watch cache that others may have to act on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchedChange {
+    /// The leader's claim appeared, changed or went.
     Leader,
+    /// The catalogue of machine types appeared or changed.
     Catalogue,
+    /// The job of this id appeared or changed.
     Job(String),
+    /// The key of the job of this id was removed.
     JobGone(String),
 }
 
 /// A copy of the watched keys as of `revision`.
 #[derive(Debug, Default)]
 pub struct WatchCache {
+    /// Revision of the store up to which all changes are taken in.
     pub revision: u64,
     /// False until the first full read, and again when a watch fell too far behind.
     pub complete: bool,
+    /// The leader's claim, with the version of its key.
     pub leader: Option<(LeaderValue, u64)>,
+    /// The highest term, with the version of its key.
     pub term: (u64, u64),
-    pub catalogue: Option<(serde_json::Value, u64)>,
+    /// The catalogue of machine types as it is stored, with the version of its key.
+    pub catalogue: Option<(Value, u64)>,
     /// Each with the version of its key.
     jobs: BTreeMap<String, (JobKey, u64)>,
     /// Tasks of all these jobs.
     tasks: u64,
-    /// Keys read so far, and the revision of the first page, during a full read.
-    reading: Option<(u64, Vec<Event>)>,
+    full_read: Option<FullRead>,
+}
+
+/// A full read of the watched keys that is under way.
+#[derive(Debug)]
+struct FullRead {
+    /// Revision of the first page.
+    revision: u64,
+    /// The keys read so far, as if they had just been put.
+    events: Vec<Event>,
+}
+
+/// A change of a key, told apart by what happened.
+enum KeyChange {
+    Put { key: String, value: Value },
+    Removed { key: String },
+}
+
+impl KeyChange {
+    fn of(event: Event) -> Option<KeyChange> {
+        match (event.put, event.delete) {
+            (Some(key), _) => Some(KeyChange::Put {
+                key,
+                value: event.value,
+            }),
+            (None, Some(key)) => Some(KeyChange::Removed { key }),
+            (None, None) => None,
+        }
+    }
 }
 
 impl WatchCache {
-    /// Takes one page of a full read; gives the changes once it is the last.
+    /// Takes in one page of a full read; gives the changes once it is the last.
     pub fn take_page(&mut self, keys: &Keys, page: Page) -> Option<Vec<WatchedChange>> {
-        let (_, events) = self.reading.get_or_insert((page.revision, Vec::new()));
-        events.extend(page.items.into_iter().map(|entry| Event {
+        let full_read = self.full_read.get_or_insert_with(|| FullRead {
+            revision: page.revision,
+            events: Vec::new(),
+        });
+        full_read.events.extend(page.items.into_iter().map(|entry| Event {
             put: Some(entry.key),
             delete: None,
             value: entry.value,
@@ -61,29 +82,32 @@
         if page.more {
             return None;
         }
-        let (revision, events) = self.reading.take()?;
+        let full_read = self.full_read.take()?;
+        Some(self.replace_all(keys, full_read))
+    }
+
+    /// Replaces the jobs and the claim by those of a full read.
+    fn replace_all(&mut self, keys: &Keys, full_read: FullRead) -> Vec<WatchedChange> {
         let mut changes: Vec<WatchedChange> = Vec::new();
         if self.leader.take().is_some() {
             changes.push(WatchedChange::Leader);
         }
         let before = std::mem::take(&mut self.jobs);
         self.tasks = 0;
-        for event in events {
+        for event in full_read.events {
             changes.extend(self.apply(keys, event));
         }
-        for id in before.into_keys() {
-            if !self.jobs.contains_key(&id) {
-                changes.push(WatchedChange::JobGone(id));
-            }
-        }
+        let gone = before.into_keys().filter(|id| !self.jobs.contains_key(id));
+        changes.extend(gone.map(WatchedChange::JobGone));
         // Later pages may be newer than the first; the log from the first
         // page's revision on puts that right.
-        self.revision = revision;
+        self.revision = full_read.revision;
         self.complete = true;
-        Some(changes)
+        changes
     }
 
-    /// Unfinished jobs, and ended ones that are not cleaned up yet.
+    /// Unfinished jobs, and ended ones that are not cleaned up yet, each with the
+    /// version of its key.
     pub fn jobs(&self) -> &BTreeMap<String, (JobKey, u64)> {
         &self.jobs
     }
@@ -93,22 +117,23 @@
         self.tasks
     }
 
-    /// Takes in a job's key.
-    pub fn learn(&mut self, id: &str, key: JobKey, version: u64) {
-        self.forget(id);
+    /// Records a job's key, as it is from this version on.
+    pub fn record_job(&mut self, id: &str, key: JobKey, version: u64) {
+        self.remove_job(id);
         self.tasks += u64::from(key.spec.tasks);
         self.jobs.insert(id.into(), (key, version));
     }
 
-    fn forget(&mut self, id: &str) {
+    fn remove_job(&mut self, id: &str) {
         if let Some((key, _)) = self.jobs.remove(id) {
             self.tasks -= u64::from(key.spec.tasks);
         }
     }
 
+    /// Asks for a full read: changes have been missed, or a full read failed.
     pub fn restart(&mut self) {
         self.complete = false;
-        self.reading = None;
+        self.full_read = None;
     }
 
     /// Applies a log that begins at or before our revision.
@@ -126,42 +151,58 @@
     }
 
     fn apply(&mut self, keys: &Keys, event: Event) -> Option<WatchedChange> {
-        let (key, gone) = match (event.put, event.delete) {
-            (Some(key), _) => (key, false),
-            (None, Some(key)) => (key, true),
-            (None, None) => return None,
-        };
         let version = event.version;
+        match KeyChange::of(event)? {
+            KeyChange::Put { key, value } => self.apply_put(keys, &key, value, version),
+            KeyChange::Removed { key } => self.apply_removal(keys, &key),
+        }
+    }
+
+    fn apply_put(&mut self, keys: &Keys, key: &str, value: Value, version: u64) -> Option<WatchedChange> {
         if let Some(id) = key.strip_prefix(&keys.jobs()) {
-            if gone {
-                self.forget(id);
-                return Some(WatchedChange::JobGone(id.into()));
-            }
-            match serde_json::from_value(event.value) {
-                Ok(job) => self.learn(id, job, version),
-                Err(error) => {
-                    tracing::error!(job = id, %error, "a job key can't be read");
-                    return None;
-                }
-            };
-            return Some(WatchedChange::Job(id.into()));
+            return self.apply_job(id, value, version);
         }
         if key == keys.leader() {
-            self.leader = if gone {
-                None
-            } else {
-                serde_json::from_value(event.value).ok().map(|leader| (leader, version))
-            };
+            self.leader = serde_json::from_value(value).ok().map(|leader| (leader, version));
             return Some(WatchedChange::Leader);
         }
-        if key == keys.term() && !gone {
-            let term = event.value.get("term").and_then(|term| term.as_u64());
+        if key == keys.term() {
+            let term = value.get("term").and_then(Value::as_u64);
             self.term = (term.unwrap_or(0), version);
         }
-        if key == keys.catalogue() && !gone {
-            self.catalogue = Some((event.value, version));
+        if key == keys.catalogue() {
+            self.catalogue = Some((value, version));
             return Some(WatchedChange::Catalogue);
         }
         None
     }
+
+    fn apply_job(&mut self, id: &str, value: Value, version: u64) -> Option<WatchedChange> {
+        match serde_json::from_value(value) {
+            Ok(job) => {
+                self.record_job(id, job, version);
+                Some(WatchedChange::Job(id.into()))
+            }
+            Err(error) => {
+                tracing::error!(job = id, %error, "a job key can't be read");
+                None
+            }
+        }
+    }
+
+    /// The term and the catalogue are never removed, and stay known if they should be.
+    fn apply_removal(&mut self, keys: &Keys, key: &str) -> Option<WatchedChange> {
+        if let Some(id) = key.strip_prefix(&keys.jobs()) {
+            self.remove_job(id);
+            return Some(WatchedChange::JobGone(id.into()));
+        }
+        if key == keys.leader() {
+            self.leader = None;
+            return Some(WatchedChange::Leader);
+        }
+        None
+    }
 }
+
+#[cfg(test)]
+mod tests;
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use sumacbend::fleet::{GroupValue, MachineRequestRecord};
 use sumacbend::pipeline::ChunkValue;
-use sumacbend::store::{JobKey, Keys, LeaderValue};
+use sumacbend::store::{EndValue, JobKey, Keys, LeaderValue};
 use sumacbend::wire::Catalogue;
 
 const STORE: &str = "stored/store.txt";
@@ -32,12 +32,14 @@
     round_trip_below::<LeaderValue>("stored/claim.txt", "live/pool/owner");
     round_trip_below::<Catalogue>(STORE, "live/pool/catalogue");
     round_trip_below::<JobKey>(STORE, "live/pool/job/");
+    round_trip_below::<EndValue>(STORE, "kept/pool/end/");
     round_trip_below::<ChunkValue>(STORE, "kept/pool/firing/");
     round_trip_below::<GroupValue>(STORE, "kept/pool/roster/");
     round_trip_below::<MachineRequestRecord>(STORE, "kept/pool/hire/");
 }
 
-/// All fields of a stored value are required, but for how a job ended.
+/// All fields of a stored value are required, but for how a job ended and the count of
+/// its tasks that were done.
 #[test]
 fn fields_of_stored_values_are_missed_by_name() {
     fn missed_answers<T: DeserializeOwned>(text: &str, optional: &[&str]) {
@@ -58,11 +60,12 @@
         match parts[2] {
             "owner" => missed_answers::<LeaderValue>(text, &[]),
             "job" => missed_answers::<JobKey>(text, &["ended"]),
+            "end" => missed_answers::<EndValue>(text, &["done"]),
             "firing" => missed_answers::<ChunkValue>(text, &[]),
             "roster" => missed_answers::<GroupValue>(text, &[]),
             "hire" => missed_answers::<MachineRequestRecord>(text, &[]),
             // Read by the controllers alone, as the takeover in tests/rules shows.
-            "term" | "end" | "catalogue" => {}
+            "term" | "catalogue" => {}
             other => panic!("a key of another kind: {other}"),
         }
     }
