--- /dev/null
+++ b/src/admission/validation.rs
@@ -0,0 +1,110 @@
+//! Reads submissions, and checks whether they are well-formed and can ever run.
+
+use super::Refusal;
+use crate::settings::Team;
+use crate::wire::{Catalogue, JobSpec, MachineType};
+
+/// The most tasks of a job.
+pub(super) const MAX_TASKS: u32 = 100_000;
+const JOB_ID_PREFIX: &str = "j-";
+/// The most digits of a job id.
+const MAX_ID_DIGITS: usize = 20;
+/// Allows for the rounding of amounts when they are compared with a team's limit.
+const ROUNDING: f64 = 1e-9;
+
+/// A malformed submission.
+#[derive(Debug, PartialEq)]
+pub(super) struct MalformedSubmission {
+    /// The id, if there is a valid one: a job known under it is answered whatever the
+    /// rest of this body says.
+    pub(super) job_id: Option<String>,
+    pub(super) refusal: Refusal,
+}
+
+/// Whether it is an id of the form that the protocol gives: `j-` and digits.
+pub(super) fn is_valid_id(id: &str) -> bool {
+    id.strip_prefix(JOB_ID_PREFIX).is_some_and(|digits| {
+        (1..=MAX_ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
+    })
+}
+
+/// Reads the body of a submission.
+pub(super) fn parse(body: &str) -> Result<JobSpec, MalformedSubmission> {
+    let spec: JobSpec = serde_json::from_str(body).map_err(|error| MalformedSubmission {
+        job_id: find_id(body),
+        refusal: Refusal::Unreadable(error.to_string()),
+    })?;
+    match check_well_formed(&spec) {
+        Ok(()) => Ok(spec),
+        Err(refusal) => Err(MalformedSubmission {
+            job_id: is_valid_id(&spec.id).then_some(spec.id),
+            refusal,
+        }),
+    }
+}
+
+/// The valid id in a body that is no job.
+fn find_id(body: &str) -> Option<String> {
+    let value: serde_json::Value = serde_json::from_str(body).ok()?;
+    let id = value.get("id")?.as_str()?;
+    is_valid_id(id).then(|| id.to_owned())
+}
+
+fn check_well_formed(spec: &JobSpec) -> Result<(), Refusal> {
+    if !is_valid_id(&spec.id) {
+        return Err(Refusal::InvalidId);
+    }
+    if spec.tasks == 0 || spec.tasks > MAX_TASKS {
+        return Err(Refusal::TaskCountOutOfRange);
+    }
+    let amounts = [
+        spec.cpus,
+        spec.gpus,
+        spec.memory_gb,
+        spec.image_gb,
+        spec.estimate_s,
+        spec.checkpoint_s,
+        spec.save_s,
+        spec.deadline_s.unwrap_or(0.0),
+    ];
+    if amounts.iter().any(|amount| !amount.is_finite() || *amount < 0.0) {
+        return Err(Refusal::NegativeAmount);
+    }
+    if spec.image.is_empty() {
+        return Err(Refusal::MissingImage);
+    }
+    Ok(())
+}
+
+/// Whether a well-formed job can ever run.
+pub(super) fn check_feasible(spec: &JobSpec, teams: &[Team], catalogue: &Catalogue) -> Result<(), Refusal> {
+    let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
+        return Err(Refusal::UnknownTeam);
+    };
+    if exceeds(team.cpus_max, spec.cpus) || exceeds(team.gpus_max, spec.gpus) {
+        return Err(Refusal::OverTeamLimit);
+    }
+    if !catalogue.types.iter().any(|machine_type| fits(spec, machine_type)) {
+        return Err(Refusal::FitsNoMachineType);
+    }
+    Ok(())
+}
+
+/// Whether the need is more than the limit. A limit of 0 is none.
+fn exceeds(limit: f64, need: f64) -> bool {
+    limit > 0.0 && need > limit + ROUNDING
+}
+
+/// Whether the job allows this machine type, and a task fits an empty machine of it.
+fn fits(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    spec.types
+        .as_ref()
+        .is_none_or(|types| types.contains(&machine_type.name))
+        && spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
+        && spec.cpus <= machine_type.cpus
+        && spec.gpus <= machine_type.gpus
+        && spec.memory_gb <= machine_type.memory_gb
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/admission/check/tests.rs
+++ b/src/admission/validation/tests.rs
@@ -10,7 +10,7 @@
 }
 
 fn status(value: &Value) -> Result<JobSpec, (Option<String>, u16)> {
-    parse(&value.to_string()).map_err(|(id, refusal)| (id, refusal.status))
+    parse(&value.to_string()).map_err(|malformed| (malformed.job_id, malformed.refusal.status()))
 }
 
 #[test]
@@ -42,7 +42,7 @@
         assert!(status(&job).is_ok(), "{nullable}");
     }
     assert_eq!(
-        parse("[1]").map_err(|(id, refusal)| (id, refusal.status)),
+        parse("[1]").map_err(|malformed| (malformed.job_id, malformed.refusal.status())),
         Err((None, 400))
     );
 }
@@ -51,7 +51,7 @@
     #[test]
     fn no_body_makes_the_reader_fail(body in ".{0,300}") {
         if let Ok(spec) = parse(&body) {
-            prop_assert!(valid_id(&spec.id));
+            prop_assert!(is_valid_id(&spec.id));
         }
     }
 }
--- /dev/null
+++ b/src/admission/writes.rs
@@ -0,0 +1,93 @@
+//! The create-once writes that accept and cancel jobs.
+//!
+//! Each depends on the job having no end yet, and on the version of its key that was
+//! seen, so that it is carried out at most once, however often it is sent.
+
+use super::answers::{self, Unavailable};
+use super::pending::Awaited;
+use super::{Admission, AdmissionContext, AdmissionEffect, Question, QuestionKind};
+use crate::peers::Answer;
+use crate::store::{EndValue, JobKey, StoreReply};
+use crate::wire::{Change, Condition, JobState, Transaction};
+use serde_json::json;
+use std::sync::Arc;
+
+/// A write of a job key.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct JobWrite {
+    pub(super) transaction: Arc<Transaction>,
+    /// The value that it gives the job key.
+    job: JobKey,
+}
+
+impl JobWrite {
+    /// Creates or replaces the job key, which now has this version, after other changes.
+    pub(super) fn new(context: &AdmissionContext, job: JobKey, job_version: u64, mut changes: Vec<Change>) -> JobWrite {
+        let job_key = context.keys.job(&job.spec.id);
+        let mut conditions = vec![
+            Condition {
+                key: job_key.clone(),
+                version: job_version,
+            },
+            Condition {
+                key: context.keys.end(&job.spec.id),
+                version: 0,
+            },
+        ];
+        // A leader's writes are void once another has claimed the shard.
+        conditions.extend(context.claim.clone());
+        changes.push(Change::put(job_key, json!(job)));
+        let transaction = Arc::new(Transaction { conditions, changes });
+        JobWrite { transaction, job }
+    }
+}
+
+impl Admission {
+    /// The reply to a create-once write.
+    pub fn written(&mut self, context: &AdmissionContext, request_id: u64, reply: &StoreReply) -> Vec<AdmissionEffect> {
+        let Some(request) = self.pending.get(&request_id) else {
+            return Vec::new();
+        };
+        let Awaited::WriteReply(write) = &request.awaited else {
+            return Vec::new();
+        };
+        match reply {
+            StoreReply::Committed { revision } => {
+                let answer = answer_to_write(&request.question);
+                let mut effects = vec![AdmissionEffect::RecordJob {
+                    id: request.question.job_id.clone(),
+                    job: write.job.clone(),
+                    revision: *revision,
+                }];
+                effects.extend(self.finish(request_id, answer));
+                effects
+            }
+            StoreReply::Conflict { .. } => {
+                // Known already, ended meanwhile, or our claim is gone: look again.
+                self.await_confirming_read(request_id);
+                Vec::new()
+            }
+            // It may have been applied. The same write again either does it
+            // or conflicts with it, and both tell.
+            StoreReply::Unanswered if request.may_write_again(context.now) => vec![AdmissionEffect::Write {
+                request_id,
+                transaction: write.transaction.clone(),
+            }],
+            _ => self.finish(request_id, Unavailable::StateServiceUnreachable.answer()),
+        }
+    }
+}
+
+/// What the user is told once the write has succeeded.
+fn answer_to_write(question: &Question) -> Answer {
+    match question.kind {
+        QuestionKind::Cancellation => {
+            let end = EndValue {
+                state: JobState::Cancelled,
+                done: 0,
+            };
+            answers::ended(&question.job_id, end)
+        }
+        _ => answers::accepted(&question.job_id),
+    }
+}
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -1,7 +1,7 @@
 //! Users' requests and health checks: admitted here, or forwarded to the leader.
 
 use super::{Controller, Output, Purpose, SHARD};
-use crate::admission::{Admission, AdmissionContext, Requester, Want};
+use crate::admission::{Admission, AdmissionContext, AdmissionEffect, Requester, TaskCounts, Verdict};
 use crate::peers::{Message, PeerLinks, UserRequest};
 use crate::store::StoreRequest;
 use crate::wire::JobSpec;
@@ -16,15 +16,14 @@
             .is_acting_leader(self.now)
             .then(|| self.election.condition(&self.keys));
         let (catalogue, teams) = (&self.catalogue, &self.settings.params.teams);
-        let refuse = |spec: &JobSpec| {
-            catalogue
-                .as_ref()
-                .map(|catalogue| crate::admission::check(spec, teams, catalogue))
-        };
+        let verdict = |spec: &JobSpec| Verdict::of(spec, teams, catalogue.as_ref());
         let (shard, peers) = (&self.shard, &self.peers);
-        let counts = |id: &str| match shard {
-            Some(shard) => shard.counts(id),
-            None => peers.task_counts(id),
+        let counts = |id: &str| {
+            let counts = match shard {
+                Some(shard) => shard.counts(id),
+                None => peers.task_counts(id),
+            };
+            counts.map(|(done, running)| TaskCounts { done, running })
         };
         let context = AdmissionContext {
             now: self.now,
@@ -33,28 +32,39 @@
             limits: &self.settings.params.limits,
             watch_cache: &self.watch_cache,
             claim,
-            refuse: &refuse,
+            verdict: &verdict,
             counts: &counts,
         };
         act(&mut self.admission, &context, &self.peers)
     }
 
-    pub(super) fn apply_effects(&mut self, wants: Vec<Want>) {
-        for want in wants {
-            match want {
-                Want::Answer(Requester::User(request), answer) => self.outputs.push(Output::Answer { request, answer }),
-                Want::Answer(Requester::Peer { node, id }, answer) => self.outputs.push(Output::Peer {
+    pub(super) fn apply_effects(&mut self, effects: Vec<AdmissionEffect>) {
+        for effect in effects {
+            match effect {
+                AdmissionEffect::Answer(Requester::User(request), answer) => {
+                    self.outputs.push(Output::Answer { request, answer })
+                }
+                AdmissionEffect::Answer(Requester::Peer { node, id }, answer) => self.outputs.push(Output::Peer {
                     node,
                     message: Message::ForwardReply { id, answer },
                 }),
-                Want::ReadEnd { op, key } => self.enqueue(Purpose::ReadEnd(op), StoreRequest::Get(key)),
-                Want::Write { op, transaction } => {
-                    self.enqueue(Purpose::Write(op), StoreRequest::Transact(transaction));
+                AdmissionEffect::ReadEnd { request_id, key } => {
+                    self.enqueue(Purpose::ReadEnd(request_id), StoreRequest::Get(key))
                 }
-                Want::Forward { op, node, user_request } => {
+                AdmissionEffect::Write {
+                    request_id,
+                    transaction,
+                } => {
+                    self.enqueue(Purpose::Write(request_id), StoreRequest::Transact(transaction));
+                }
+                AdmissionEffect::Forward {
+                    request_id,
+                    node,
+                    user_request,
+                } => {
                     self.next_forward += 1;
                     let id = self.next_forward;
-                    self.forwards.insert(id, op);
+                    self.forwards.insert(id, request_id);
                     self.outputs.push(Output::Peer {
                         node,
                         message: Message::ForwardRequest {
@@ -64,10 +74,10 @@
                         },
                     });
                 }
-                Want::Learned { id, key, revision } => {
+                AdmissionEffect::RecordJob { id, job, revision } => {
                     // The watch may have been faster, even to the job's end.
                     if revision > self.watch_cache.revision {
-                        self.watch_cache.record_job(&id, key, revision);
+                        self.watch_cache.record_job(&id, job, revision);
                         self.job_changed(&id);
                     }
                 }
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -67,7 +67,13 @@
             self.watch_cache_read(sent);
         }
         if number > 0 {
-            let wants = self.with_admission(|admission, context, _| admission.synced(context, number, ok));
+            let wants = self.with_admission(|admission, context, _| {
+                if ok {
+                    admission.synced(context, number)
+                } else {
+                    admission.sync_failed(number)
+                }
+            });
             self.apply_effects(wants);
         }
     }
