--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -2,7 +2,7 @@
 
 use super::Shard;
 use crate::Millis;
-use crate::fleet::{GroupValue, MachineRequestRecord, PendingMachineRequest};
+use crate::fleet::{GroupValue, InventoryMember, MachineRequestRecord, PendingMachineRequest};
 use crate::ids::Index;
 use crate::pipeline::ChunkValue;
 use crate::wire::Entry;
@@ -17,9 +17,12 @@
             return;
         };
         let group_ix = self.fleet.inventory.load(name, entry.version);
-        for (name, type_name, zone, spot, address) in value.machines {
-            let type_ix = self.topology.type_ix(&type_name);
-            let zone = self.topology.zones.intern(&zone);
+        for member in value.machines {
+            let InventoryMember {
+                name, address, spot, ..
+            } = member;
+            let type_ix = self.topology.type_ix(&member.machine_type);
+            let zone = self.topology.zones.intern(&member.zone);
             let machine = Machine {
                 known_up_at: address.is_some().then_some(now),
                 address,
--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -2,15 +2,60 @@
 //! rented far faster than single keys may be written.
 
 use crate::ids::{GroupIx, MachineIx, Table};
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Serialize, Serializer};
 use std::collections::BTreeSet;
 
-/// A machine in its group's key: name, type, zone, spot, address.
-pub type Member = (String, String, String, bool, Option<String>);
+/// A machine as the key of its group names it.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(from = "StoredMember")]
+pub struct InventoryMember {
+    /// Name of the machine.
+    pub name: String,
+    /// Name of its type in the cloud's catalogue.
+    pub machine_type: String,
+    /// Name of its zone.
+    pub zone: String,
+    /// Whether it is a spot machine.
+    pub spot: bool,
+    /// Where its worker is reached, once that is known.
+    pub address: Option<String>,
+}
+
+/// The stored form of a member, an array: a fleet has thousands of them, and the names of
+/// the fields would make up most of each value.
+type StoredMember = (String, String, String, bool, Option<String>);
+
+impl From<StoredMember> for InventoryMember {
+    fn from((name, machine_type, zone, spot, address): StoredMember) -> InventoryMember {
+        InventoryMember {
+            name,
+            machine_type,
+            zone,
+            spot,
+            address,
+        }
+    }
+}
+
+impl Serialize for InventoryMember {
+    // By reference: `#[serde(into)]` would clone every member that is written.
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        let InventoryMember {
+            name,
+            machine_type,
+            zone,
+            spot,
+            address,
+        } = self;
+        (name, machine_type, zone, spot, address).serialize(serializer)
+    }
+}
 
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+/// The value of a group's key.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupValue {
-    pub machines: Vec<Member>,
+    /// The machines of the group.
+    pub machines: Vec<InventoryMember>,
 }
 
 /// Machines written under one key.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -6,7 +6,7 @@
 mod inventory;
 mod provision;
 
-pub use inventory::{Group, GroupValue, Inventory, Member};
+pub use inventory::{Group, GroupValue, Inventory, InventoryMember};
 
 use crate::Millis;
 use crate::controller::Shard;
--- a/src/persistence/mod.rs
+++ b/src/persistence/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::Millis;
 use crate::controller::Shard;
-use crate::fleet::{GroupValue, MachineRequestRecord, Member};
+use crate::fleet::{GroupValue, InventoryMember, MachineRequestRecord};
 use crate::ids::{ChunkId, GroupIx, JobIx, MachineIx};
 use crate::pipeline::{ChunkValue, OpenRecord};
 use crate::store::Keys;
@@ -228,20 +228,16 @@
                 .members
                 .iter()
                 .filter_map(|&member| self.workers.machines.get(member));
-            let machines: Vec<Member> = members
-                .map(|machine| {
-                    let type_name = self.topology.types.name(machine.type_ix).to_owned();
-                    let zone = self.topology.zones.name(machine.zone).to_owned();
-                    (
-                        machine.name.clone(),
-                        type_name,
-                        zone,
-                        machine.spot,
-                        machine.address.clone(),
-                    )
+            let machines: Vec<InventoryMember> = members
+                .map(|machine| InventoryMember {
+                    name: machine.name.clone(),
+                    machine_type: self.topology.types.name(machine.type_ix).to_owned(),
+                    zone: self.topology.zones.name(machine.zone).to_owned(),
+                    spot: machine.spot,
+                    address: machine.address.clone(),
                 })
                 .collect();
-            let names = machines.iter().map(|machine| machine.0.clone()).collect();
+            let names = machines.iter().map(|machine| machine.name.clone()).collect();
             if machines.is_empty() {
                 draft.change(Change::delete(key), 100);
             } else {
