--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -1,239 +1,257 @@
 //! The leader's calls to the cloud: catalogue, machine requests, deletions, lists.
 
+use super::shard::Shard;
 use super::{CloudReply, CloudRequest, Controller, Output, Purpose};
 use crate::Millis;
-use crate::fleet::MachineRequestRecord;
+use crate::fleet::{LIST_EVERY_MS, MachineRequestRecord};
 use crate::store::{StoreRequest, TokenBucket};
-use crate::topology::Offer;
-use crate::wire::{Change, MachineNames, MachineRequest, Transaction};
+use crate::wire::{Catalogue, Change, MachineList, MachineNames, MachineRequest, Transaction};
 use serde_json::json;
 use std::collections::BTreeMap;
 
-const LIST_EVERY_MS: Millis = 3_000;
 const CATALOGUE_EVERY_MS: Millis = 60_000;
 const RETRY_MS: Millis = 1_000;
 /// How long an offer that was refused or cut short is left alone.
 const REFUSED_MS: Millis = 15_000;
+/// Machines that one call deletes.
 const MAX_DELETE: usize = 100;
 
+/// What a call to the cloud was made for, so that its reply can be acted on.
 #[derive(Debug)]
-enum Call {
-    Catalogue,
-    RequestMachines(String),
-    Delete(Vec<String>),
-    List,
+enum CloudPurpose {
+    /// Reads the machine types and their prices.
+    ReadCatalogue,
+    /// Asks for the machines of the request of this name.
+    RequestMachines { request: String },
+    /// Deletes these machines.
+    DeleteMachines { machines: Vec<String> },
+    /// Reads one page of the list of machines.
+    ListMachines,
 }
 
+/// The calls to the cloud that are in flight, within the limit on their rate.
 #[derive(Debug)]
 pub struct Calls {
     rate: TokenBucket,
-    calls: BTreeMap<u64, Call>,
+    in_flight: BTreeMap<u64, CloudPurpose>,
     catalogue_due: Millis,
+    /// The last machine of the page before; empty at the beginning of a list.
     list_after: String,
 }
 
 impl Calls {
+    /// No calls yet, at no more than `rps` calls a second.
     pub fn new(rps: f64) -> Calls {
         Calls {
             rate: TokenBucket::new(rps),
-            calls: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             catalogue_due: 0,
             list_after: String::new(),
         }
     }
 
+    /// Leaves the replies to the calls in flight unread: another leader takes over.
     pub fn forget(&mut self) {
-        self.calls.clear();
+        self.in_flight.clear();
         self.list_after.clear();
     }
 }
 
 impl Controller {
-    fn cloud(&mut self, what: Call, request: CloudRequest) {
+    fn call_cloud(&mut self, purpose: CloudPurpose, request: CloudRequest) {
         let call = self.call();
         self.cloud.rate.spend(1.0);
-        self.cloud.calls.insert(call, what);
+        self.cloud.in_flight.insert(call, purpose);
         self.outputs.push(Output::Cloud { call, request });
     }
 
+    /// Makes the calls that are due, as far as the limit on their rate allows.
     pub(super) fn advance_cloud(&mut self) {
+        self.read_catalogue();
+        self.request_machines();
+        self.list_machines();
+    }
+
+    fn read_catalogue(&mut self) {
         let now = self.now;
         if self.cloud.rate.ready(now) && now >= self.cloud.catalogue_due {
             self.cloud.catalogue_due = now + CATALOGUE_EVERY_MS;
-            self.cloud(Call::Catalogue, CloudRequest::Catalogue);
+            self.call_cloud(CloudPurpose::ReadCatalogue, CloudRequest::Catalogue);
         }
+    }
+
+    fn request_machines(&mut self) {
+        let now = self.now;
         while self.cloud.rate.ready(now)
-            && let Some(value) = self.next_machine_request()
+            && let Some(shard) = &mut self.shard
+            && let Some(record) = shard.fleet.start_machine_request(now)
         {
+            let purpose = CloudPurpose::RequestMachines {
+                request: record.request.clone(),
+            };
             let request = MachineRequest {
-                request: value.request.clone(),
-                machine_type: value.machine_type,
-                zone: value.zone,
-                spot: value.spot,
-                count: value.count,
+                request: record.request,
+                machine_type: record.machine_type,
+                zone: record.zone,
+                spot: record.spot,
+                count: record.count,
             };
-            self.cloud(
-                Call::RequestMachines(value.request),
-                CloudRequest::RequestMachines(request),
-            );
+            self.call_cloud(purpose, CloudRequest::RequestMachines(request));
         }
+    }
+
+    fn list_machines(&mut self) {
         let Some(shard) = &mut self.shard else {
             return;
         };
-        if !shard.fleet.listing && now >= shard.fleet.listed_at + LIST_EVERY_MS && self.cloud.rate.ready(now) {
-            shard.fleet.listing = true;
+        if shard.fleet.listing.is_due(self.now) && self.cloud.rate.ready(self.now) {
+            shard.fleet.listing.start();
             let after = self.cloud.list_after.clone();
-            self.cloud(Call::List, CloudRequest::List { after });
+            self.call_cloud(CloudPurpose::ListMachines, CloudRequest::List { after });
         }
     }
 
-    /// A written machine request that is due, now taken to be in flight.
-    fn next_machine_request(&mut self) -> Option<MachineRequestRecord> {
-        let now = self.now;
-        let machine_requests = &mut self.shard.as_mut()?.fleet.machine_requests;
-        let machine_request = machine_requests
-            .iter_mut()
-            .find(|machine_request| !machine_request.in_flight && now >= machine_request.not_before)?;
-        machine_request.in_flight = true;
-        Some(machine_request.value.clone())
-    }
-
+    /// Has the cloud delete the decommissioned machines, one batch at a time.
     pub(super) fn delete_decommissioned(&mut self) {
-        let now = self.now;
         let Some(shard) = &mut self.shard else {
             return;
         };
-        if shard.fleet.deleting || now < shard.fleet.delete_not_before || !self.cloud.rate.ready(now) {
+        if !shard.fleet.deletion.is_due(self.now) || !self.cloud.rate.ready(self.now) {
             return;
         }
-        let mut names = Vec::new();
-        for (_, machine) in shard.workers.machines.iter() {
-            if machine.decommissioned && names.len() < MAX_DELETE {
-                names.push(machine.name.clone());
-            }
-        }
-        if names.is_empty() {
+        let machines = shard.workers.machines.iter().map(|(_, machine)| machine);
+        let decommissioned = machines.filter(|machine| machine.decommissioned);
+        let machines: Vec<String> = decommissioned
+            .take(MAX_DELETE)
+            .map(|machine| machine.name.clone())
+            .collect();
+        if machines.is_empty() {
             return;
         }
-        shard.fleet.deleting = true;
+        shard.fleet.deletion.start();
         let request = MachineNames {
-            machines: names.clone(),
+            machines: machines.clone(),
         };
-        self.cloud(Call::Delete(names), CloudRequest::Delete(request));
+        self.call_cloud(CloudPurpose::DeleteMachines { machines }, CloudRequest::Delete(request));
     }
 
+    /// Acts on the reply to a call, or schedules the call again.
     pub(super) fn cloud_reply(&mut self, call: u64, reply: CloudReply) {
-        let Some(what) = self.cloud.calls.remove(&call) else {
+        let Some(purpose) = self.cloud.in_flight.remove(&call) else {
             return;
         };
-        let now = self.now;
-        match (what, reply) {
-            (Call::Catalogue, CloudReply::Catalogue(catalogue)) => {
-                let value = json!(catalogue);
-                let stored = self.watch_cache.catalogue.as_ref();
-                if stored.is_none_or(|(stored, _)| *stored != value) && self.election.is_acting_leader(now) {
-                    // Kept, so that a restart while the cloud is out of reach
-                    // can still decide on submissions.
-                    let transaction = Transaction {
-                        conditions: vec![self.election.condition(&self.keys)],
-                        changes: vec![Change::put(self.keys.catalogue(), value)],
-                    };
-                    self.enqueue(Purpose::Catalogue, StoreRequest::Transact(transaction.into()));
-                }
-                self.set_catalogue(catalogue);
+        match (purpose, reply) {
+            (CloudPurpose::ReadCatalogue, CloudReply::Catalogue(catalogue)) => self.catalogue_read(catalogue),
+            (CloudPurpose::RequestMachines { request }, CloudReply::Provisioned(names)) => {
+                self.machines_provisioned(&request, &names.machines);
             }
-            (Call::Catalogue, _) => self.cloud.catalogue_due = now + RETRY_MS,
-            (Call::RequestMachines(request), reply) => self.on_machines_reply(&request, reply),
-            (Call::Delete(names), reply) => {
-                let Some(shard) = &mut self.shard else {
-                    return;
-                };
-                shard.fleet.deleting = false;
-                if reply == CloudReply::Deleted {
-                    shard.machines_gone(now, &names);
-                    self.place_wanted = true;
-                } else {
-                    shard.fleet.delete_not_before = now + RETRY_MS;
-                }
+            (CloudPurpose::RequestMachines { request }, CloudReply::NoCapacity | CloudReply::Malformed) => {
+                self.machines_provisioned(&request, &[]);
             }
-            (Call::List, reply) => {
-                let Some(shard) = &mut self.shard else {
-                    return;
-                };
-                shard.fleet.listing = false;
-                let CloudReply::Listed(list) = reply else {
-                    shard.fleet.listed_at = now;
-                    self.cloud.list_after.clear();
-                    return;
-                };
-                shard.listed(now, &list.machines, !list.more);
-                match list.machines.last() {
-                    Some(last) if list.more => self.cloud.list_after = last.id.clone(),
-                    _ => {
-                        self.cloud.list_after.clear();
-                        shard.fleet.listed_at = now;
-                    }
-                }
+            (CloudPurpose::DeleteMachines { machines }, CloudReply::Deleted) => self.machines_deleted(&machines),
+            (CloudPurpose::ListMachines, CloudReply::Listed(list)) => self.machines_listed(&list),
+            (purpose, _) => self.retry_cloud_call(&purpose),
+        }
+    }
+
+    /// A call failed, or went unanswered and may yet be carried out.
+    fn retry_cloud_call(&mut self, purpose: &CloudPurpose) {
+        let retry_at = self.now + RETRY_MS;
+        let fleet = self.shard.as_mut().map(|shard| &mut shard.fleet);
+        match (purpose, fleet) {
+            (CloudPurpose::ReadCatalogue, _) => self.cloud.catalogue_due = retry_at,
+            (CloudPurpose::RequestMachines { request }, Some(fleet)) => {
+                fleet.retry_machine_request(request, retry_at);
+            }
+            (CloudPurpose::DeleteMachines { .. }, Some(fleet)) => fleet.deletion.finish(retry_at),
+            (CloudPurpose::ListMachines, Some(fleet)) => {
+                // From its beginning, which has time.
+                self.cloud.list_after.clear();
+                fleet.listing.finish(self.now + LIST_EVERY_MS);
             }
+            (_, None) => {}
+        }
+    }
+
+    /// Keeps the catalogue in the state service, so that a restart while the cloud is out
+    /// of reach can still decide on submissions.
+    fn catalogue_read(&mut self, catalogue: Catalogue) {
+        let value = json!(catalogue);
+        let stored = self.watch_cache.catalogue.as_ref();
+        if stored.is_none_or(|(stored, _)| *stored != value) && self.election.is_acting_leader(self.now) {
+            let transaction = Transaction {
+                conditions: vec![self.election.condition(&self.keys)],
+                changes: vec![Change::put(self.keys.catalogue(), value)],
+            };
+            self.enqueue(Purpose::Catalogue, StoreRequest::Transact(transaction.into()));
         }
+        self.set_catalogue(catalogue);
     }
 
-    fn on_machines_reply(&mut self, request: &str, reply: CloudReply) {
+    /// The request is answered for good, though perhaps with fewer machines than asked for.
+    fn machines_provisioned(&mut self, request: &str, machines: &[String]) {
         let now = self.now;
         let Some(shard) = &mut self.shard else {
             return;
         };
-        let Some(position) = shard
-            .fleet
-            .machine_requests
-            .iter()
-            .position(|machine_request| machine_request.value.request == request)
-        else {
+        let Some(pending) = shard.fleet.finish_machine_request(request) else {
             return;
         };
-        let machine_request = &mut shard.fleet.machine_requests[position];
-        let got = match reply {
-            CloudReply::Provisioned(names) => names.machines,
-            CloudReply::NoCapacity | CloudReply::Malformed => Vec::new(),
-            _ => {
-                // The very same request again, until it is answered: it may
-                // have been carried out, or may yet be.
-                machine_request.in_flight = false;
-                machine_request.not_before = now + RETRY_MS;
-                return;
-            }
-        };
-        let machine_request = shard.fleet.machine_requests.remove(position);
-        let value = machine_request.value;
+        let record = pending.value;
         tracing::info!(
-            machine_type = value.machine_type,
-            zone = value.zone,
-            spot = value.spot,
-            asked = value.count,
-            got = got.len(),
+            machine_type = record.machine_type,
+            zone = record.zone,
+            spot = record.spot,
+            asked = record.count,
+            got = machines.len(),
             "scaled out"
         );
-        if got.len() < value.count as usize
-            && let (Some(type_ix), Some(zone)) = (
-                shard.topology.types.get(&value.machine_type),
-                shard.topology.zones.get(&value.zone),
-            )
+        if machines.len() < record.count as usize
+            && let Some(offer) = shard
+                .topology
+                .find_offer(&record.machine_type, &record.zone, record.spot)
         {
-            let offer = Offer {
-                type_ix,
-                zone,
-                spot: value.spot,
-            };
-            shard.fleet.refused.insert(offer, now + REFUSED_MS);
+            shard.fleet.refuse(offer, now + REFUSED_MS);
         }
-        for name in &got {
-            if shard.workers.machines.find(name).is_none() && !shard.workers.tombstones.contains_key(name) {
-                shard.add_machine(now, name, &value.machine_type, &value.zone, value.spot);
+        add_provisioned(shard, now, &record, machines);
+        let settled = (record.request, pending.version);
+        shard.pending_writes.settled.push_back(settled);
+    }
+
+    fn machines_deleted(&mut self, machines: &[String]) {
+        let Some(shard) = &mut self.shard else {
+            return;
+        };
+        shard.fleet.deletion.finish(self.now);
+        shard.machines_gone(self.now, machines);
+        self.place_wanted = true;
+    }
+
+    /// One page of the list; the next one follows at once.
+    fn machines_listed(&mut self, list: &MachineList) {
+        let now = self.now;
+        let Some(shard) = &mut self.shard else {
+            return;
+        };
+        shard.listed(now, &list.machines, !list.more);
+        match list.machines.last() {
+            Some(last) if list.more => {
+                self.cloud.list_after = last.id.clone();
+                shard.fleet.listing.finish(now);
             }
+            _ => {
+                self.cloud.list_after.clear();
+                shard.fleet.listing.finish(now + LIST_EVERY_MS);
+            }
+        }
+    }
+}
+
+/// Adds the machines that a request brought, but for those known or already deleted.
+fn add_provisioned(shard: &mut Shard, now: Millis, record: &MachineRequestRecord, machines: &[String]) {
+    for name in machines {
+        if shard.workers.machines.find(name).is_none() && !shard.workers.tombstones.contains_key(name) {
+            shard.add_machine(now, name, &record.machine_type, &record.zone, record.spot);
         }
-        shard
-            .pending_writes
-            .settled
-            .push_back((value.request, machine_request.version));
     }
 }
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -111,12 +111,7 @@
         let committed = shard.committed(self.now, &self.keys, revision);
         shard.workers.delivery_due.extend(committed.delivery_due);
         for (value, version) in committed.machine_requests {
-            shard.fleet.machine_requests.push(crate::fleet::PendingMachineRequest {
-                value,
-                version,
-                in_flight: false,
-                not_before: 0,
-            });
+            shard.fleet.add_machine_request(value, version);
         }
         // A cancel may have come while this was written.
         shard.drop_unwritten(self.now);
--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -2,7 +2,7 @@
 
 use super::Shard;
 use crate::Millis;
-use crate::fleet::{GroupValue, InventoryMember, MachineRequestRecord, PendingMachineRequest};
+use crate::fleet::{GroupValue, InventoryMember, MachineRequestRecord};
 use crate::ids::Index;
 use crate::pipeline::ChunkValue;
 use crate::wire::Entry;
@@ -41,12 +41,7 @@
 
     pub fn load_machine_request(&mut self, entry: &Entry) {
         match serde_json::from_value::<MachineRequestRecord>(entry.value.clone()) {
-            Ok(value) => self.fleet.machine_requests.push(PendingMachineRequest {
-                value,
-                version: entry.version,
-                in_flight: false,
-                not_before: 0,
-            }),
+            Ok(value) => self.fleet.add_machine_request(value, entry.version),
             Err(error) => tracing::error!(key = entry.key, %error, "a machine_request key can't be read"),
         }
     }
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -7,6 +7,7 @@
 mod machines;
 mod reports;
 mod scheduling;
+mod scaling;
 
 use crate::Millis;
 use crate::fleet::Fleet;
--- a/src/controller/shard/tests.rs
+++ b/src/controller/shard/tests.rs
@@ -5,6 +5,7 @@
 mod reports;
 mod worker_fixture;
 mod scheduling;
+mod scaling;
 
 use super::*;
 use crate::settings::{Settings, tests::SAMPLE};
--- a/src/fleet/forecast.rs
+++ b/src/fleet/forecast.rs
@@ -1,28 +1,22 @@
 //! How many tasks of each class machines should be ready for.
 
-use super::{Demand, UNKNOWN_BOOT_S};
+use super::FleetContext;
+use super::demand::{CapacityNeed, ClassDemand, TaskDemand};
 use crate::Millis;
-use crate::controller::Shard;
 use crate::ids::{ClassIx, Index, TeamIx};
-use crate::resources::Shape;
+use crate::pipeline::Job;
 use crate::wire::Priority;
 use std::collections::BTreeMap;
 
-/// How much of its boot time a new machine has to pay back before it is worth
-/// renting for tasks that wait now: a spot machine soon, an ordinary one later.
-const SPOT_BOOT: f64 = 0.2;
-const ORDINARY_BOOT: f64 = 0.5;
-const ORDINARY_BOOT_LOW: f64 = 1.0;
-
-/// A number of like tasks wanted at once.
-pub(super) struct Want {
-    pub shape: Shape,
-    pub count: u32,
-    /// Of these, the ones that are there now: worth an ordinary machine where
-    /// spot machines are not to be had.
-    pub firm: u32,
-    pub best_effort: bool,
-}
+/// How much of its boot time a new machine has to pay back before it is worth buying
+/// for tasks that wait now: a spot machine soon, an on-demand one later.
+const SPOT_BOOT_SHARE: f64 = 0.2;
+const ON_DEMAND_BOOT_SHARE: f64 = 0.5;
+const ON_DEMAND_BOOT_SHARE_LOW_PRIORITY: f64 = 1.0;
+/// The mean is trusted in full once there is a sample for every so many seconds.
+const FEWEST_SAMPLES_DIVISOR_S: f64 = 3.0;
+/// Keeps a division by the duration of a task finite.
+const SHORTEST_DURATION_S: f64 = 0.001;
 
 /// The tasks of one class that one team has, to which the team's limit applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -31,142 +25,153 @@
     team: TeamIx,
 }
 
-/// How many tasks of one class a team has.
-#[derive(Clone, Copy, Debug, Default)]
-struct TeamDemand {
-    /// Wanted at once.
-    wanted: f64,
-    /// Worth renting ordinary machines for.
-    lasting: f64,
-    /// Worth renting spot machines for.
-    spot: f64,
+/// The demand for machines, by class of jobs, and its course over the forecast period.
+#[derive(Debug, Default)]
+pub(crate) struct Forecast {
+    classes: BTreeMap<ClassIx, ClassDemand>,
 }
 
-impl Shard {
+impl Forecast {
     /// Tasks of each class to be ready for: what waits and runs now, or what
     /// ran on average lately with some headroom, whichever is more.
-    pub(super) fn forecast(&mut self, now: Millis) -> Vec<Want> {
-        let mut team_wants: BTreeMap<ClassOfTeam, TeamDemand> = BTreeMap::new();
-        for (_, job) in self.jobs.table.iter().filter(|(_, job)| job.live()) {
-            self.fleet.demand.entry(job.class).or_insert_with(|| Demand {
-                shape: job.shape.clone(),
-                best_effort: job.best_effort,
-                ..Demand::default()
-            });
-            // A job that keeps failing must not rent machines for all its tasks,
-            // but it is tried again, so it needs one.
-            let waiting = if job.fails_everywhere() {
-                job.waiting().min(1)
-            } else {
-                job.waiting()
-            };
-            // By the time a new machine is up, short tasks are over, or have
-            // found room on the old ones.
-            let boot_s = self.boot_s(&job.shape);
-            let wanted = f64::from(waiting) + job.open.len() as f64;
-            let lasting = |part: f64| wanted * job.spec.estimate_s / (job.spec.estimate_s + part * boot_s).max(0.001);
-            let entry = team_wants
-                .entry(ClassOfTeam {
-                    class: job.class,
-                    team: job.team,
-                })
-                .or_default();
-            entry.wanted += wanted;
-            let part = match job.priority() {
-                Priority::Low => ORDINARY_BOOT_LOW,
-                _ => ORDINARY_BOOT,
-            };
-            // What has time can follow on machines that others leave: at any time
-            // where its aim is longer than a boot, so that what was asked for when
-            // it came is there by then; else, and behind all others, only once
-            // new ones would be up.
-            let left_s = job.start_by_ms.saturating_sub(self.wall_clock) as f64 / 1000.0;
-            let aim_s = job.start_by_ms.saturating_sub(job.accepted_ms) as f64 / 1000.0;
-            let time_s = if aim_s > boot_s && job.priority() > Priority::Low {
-                left_s
-            } else {
-                left_s - boot_s
-            };
-            let enough = if job.spec.deadline_s.is_none() && time_s > 0.0 {
-                wanted * job.spec.estimate_s / (job.spec.estimate_s + time_s).max(0.001)
-            } else {
-                wanted
-            };
-            // It can wait for what others leave, unless nothing else will do.
-            if !job.best_effort || !job.shape.spot {
-                entry.lasting += lasting(part).min(enough);
-            }
-            entry.spot += lasting(SPOT_BOOT);
+    pub(crate) fn update(&mut self, context: &FleetContext) -> Vec<CapacityNeed> {
+        self.add_new_classes(context);
+        self.set_current_demand(context);
+        self.add_samples(context);
+        let needs = self.capacity_needs(context);
+        self.classes.retain(|_, class| class.had_tasks());
+        needs
+    }
+
+    fn add_new_classes(&mut self, context: &FleetContext) {
+        for job in live_jobs(context) {
+            self.classes
+                .entry(job.class)
+                .or_insert_with(|| ClassDemand::new(job.shape.clone(), job.best_effort));
         }
-        for demand in self.fleet.demand.values_mut() {
-            demand.now = 0.0;
-            demand.lasting = 0.0;
-            demand.spot = 0.0;
+    }
+
+    /// What is wanted now, of which no team can use more than its limit.
+    fn set_current_demand(&mut self, context: &FleetContext) {
+        for class in self.classes.values_mut() {
+            class.current = TaskDemand::default();
         }
-        for (ClassOfTeam { class, team }, team_demand) in team_wants {
-            let demand = self.fleet.demand.entry(class).or_default();
-            let cpus = demand.shape.resources.cpus;
-            let limit = self.jobs.team_quotas[team.usize()].limit.cpus;
-            let most = if limit > 0.0 && cpus > 0.0 {
+        for (ClassOfTeam { class, team }, demand) in demand_by_team(context) {
+            let Some(class) = self.classes.get_mut(&class) else {
+                continue;
+            };
+            let cpus = class.shape.resources.cpus;
+            let limit = context.jobs.team_quotas[team.usize()].limit.cpus;
+            let most_tasks = if limit > 0.0 && cpus > 0.0 {
                 (limit / cpus).floor()
             } else {
                 f64::MAX
             };
-            demand.now += team_demand.wanted.min(most);
-            demand.lasting += team_demand.lasting.min(most);
-            demand.spot += team_demand.spot.min(most);
+            class.current.add(demand.at_most(most_tasks));
         }
-        let horizon = crate::millis(self.policy.forecast_s);
-        let mut wants = Vec::new();
-        for demand in self.fleet.demand.values_mut() {
-            demand.history.push_back((now, demand.now));
-            while demand.history.front().is_some_and(|&(at, _)| at + horizon < now) {
-                demand.history.pop_front();
-            }
-            let samples = self.policy.forecast_s / 3.0;
-            let count = demand.target(self.policy.headroom, samples);
+    }
+
+    fn add_samples(&mut self, context: &FleetContext) {
+        let period = crate::millis(context.policy.forecast_s);
+        for class in self.classes.values_mut() {
+            class.add_sample(context.now, period);
+        }
+    }
+
+    fn capacity_needs(&self, context: &FleetContext) -> Vec<CapacityNeed> {
+        let fewest_samples = context.policy.forecast_s / FEWEST_SAMPLES_DIVISOR_S;
+        let mut needs = Vec::new();
+        for class in self.classes.values() {
+            let count = class.target(context.policy.headroom, fewest_samples);
             if count > 0 {
-                let shape = demand.shape.clone();
-                let firm = demand.lasting.ceil() as u32;
-                wants.push(Want {
-                    shape,
+                needs.push(CapacityNeed {
+                    shape: class.shape.clone(),
                     count,
-                    firm,
-                    best_effort: demand.best_effort,
+                    on_demand_count: class.current.on_demand.ceil() as u32,
+                    best_effort: class.best_effort,
                 });
             }
         }
-        self.fleet
-            .demand
-            .retain(|_, demand| demand.history.iter().any(|&(_, wanted)| wanted > 0.0));
         // Best-effort work yields to all others, and so gets what they leave.
-        wants.sort_by(|a, b| {
+        needs.sort_by(|a, b| {
             let by_size = b.shape.resources.cpus.total_cmp(&a.shape.resources.cpus);
             a.best_effort.cmp(&b.best_effort).then(by_size)
         });
-        wants
+        needs
+    }
+}
+
+fn live_jobs<'a>(context: &FleetContext<'a>) -> impl Iterator<Item = &'a Job> {
+    let jobs = context.jobs.table.iter().map(|(_, job)| job);
+    jobs.filter(|job| job.live())
+}
+
+fn demand_by_team(context: &FleetContext) -> BTreeMap<ClassOfTeam, TaskDemand> {
+    let mut by_team: BTreeMap<ClassOfTeam, TaskDemand> = BTreeMap::new();
+    for job in live_jobs(context) {
+        let class_of_team = ClassOfTeam {
+            class: job.class,
+            team: job.team,
+        };
+        let boot_s = context.topology.shortest_boot_s(job.shape.resources);
+        let demand = demand_of_job(job, boot_s, context.wall_clock);
+        by_team.entry(class_of_team).or_default().add(demand);
     }
+    by_team
+}
 
-    /// The shortest boot of a machine that such a task fits.
-    fn boot_s(&self, shape: &Shape) -> f64 {
-        let fitting = self
-            .topology
-            .type_info
-            .iter()
-            .flatten()
-            .filter(|info| info.resources.fits(shape.resources));
-        fitting
-            .map(|info| info.boot_s)
-            .reduce(f64::min)
-            .unwrap_or(UNKNOWN_BOOT_S)
+fn demand_of_job(job: &Job, boot_s: f64, wall_clock: Millis) -> TaskDemand {
+    // A job that keeps failing must not get machines for all its tasks,
+    // but it is tried again, so it needs one.
+    let waiting = if job.fails_everywhere() {
+        job.waiting().min(1)
+    } else {
+        job.waiting()
+    };
+    let tasks = f64::from(waiting) + job.open.len() as f64;
+    // By the time a new machine is up, short tasks are over, or have
+    // found room on the old ones.
+    let lasting = |boot_share: f64| tasks_at_a_time(tasks, job.spec.estimate_s, boot_share * boot_s);
+    let on_demand_share = match job.priority() {
+        Priority::Low => ON_DEMAND_BOOT_SHARE_LOW_PRIORITY,
+        _ => ON_DEMAND_BOOT_SHARE,
+    };
+    // Best-effort work can wait for what others leave, unless no spot machine will do.
+    let buys_on_demand = !job.best_effort || !job.shape.spot;
+    let on_demand = if buys_on_demand {
+        lasting(on_demand_share).min(tasks_needed_in_time(job, tasks, boot_s, wall_clock))
+    } else {
+        0.0
+    };
+    TaskDemand {
+        tasks,
+        on_demand,
+        spot: lasting(SPOT_BOOT_SHARE),
     }
 }
 
-impl Demand {
-    /// `least`: samples below which the mean is not trusted in full.
-    pub(super) fn target(&self, headroom: f64, least: f64) -> u32 {
-        let samples = (self.history.len() as f64).max(least);
-        let mean = self.history.iter().map(|(_, wanted)| wanted).sum::<f64>() / samples;
-        (mean * (1.0 + headroom)).max(self.lasting).max(self.spot).ceil() as u32
+/// How many of a job's tasks have to run at a time, for all to be started by the time the
+/// job's objective asks for.
+///
+/// What has time can follow on machines that others leave: at any time where its aim is
+/// longer than a boot, so that what was asked for when it came is there by then; else, and
+/// behind all others, only once new ones would be up.
+fn tasks_needed_in_time(job: &Job, tasks: f64, boot_s: f64, wall_clock: Millis) -> f64 {
+    let left_s = job.start_by_ms.saturating_sub(wall_clock) as f64 / 1000.0;
+    let aim_s = job.start_by_ms.saturating_sub(job.accepted_ms) as f64 / 1000.0;
+    let time_s = if aim_s > boot_s && job.priority() > Priority::Low {
+        left_s
+    } else {
+        left_s - boot_s
+    };
+    if job.spec.deadline_s.is_none() && time_s > 0.0 {
+        tasks_at_a_time(tasks, job.spec.estimate_s, time_s)
+    } else {
+        tasks
     }
 }
+
+/// How many tasks run at a time, if all are to be started within `spread_s`.
+fn tasks_at_a_time(tasks: f64, duration_s: f64, spread_s: f64) -> f64 {
+    tasks * duration_s / (duration_s + spread_s).max(SHORTEST_DURATION_S)
+}
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -1,212 +1,255 @@
-//! Which machines are past use: silent, out of reach, sick, or never up.
+//! Which machines are past use: unresponsive, out of reach, failing, or never up.
 
-use super::UNKNOWN_BOOT_S;
+use super::{FIRST_SIGN_MS, Fleet, FleetContext};
 use crate::Millis;
-use crate::controller::Shard;
 use crate::ids::{Index, MachineIx, ZoneIx};
-use crate::topology::Offer;
 use crate::workers::{MISSED_ANSWERS_TO_DECOMMISSION, Machine};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
-/// A machine that takes this many boot times is late: others are asked for in its
-/// place, and it is used or returned if it comes after all.
-const LATE_BOOT: f64 = 1.75;
 /// A machine may take several times its boot time; after this much it is taken for
 /// one that never comes up.
 const BOOT_PATIENCE: f64 = 3.0;
-/// Beyond a boot: until a new machine is listed or has reported.
-const FIRST_SIGN_MS: Millis = 10_000;
-/// A zone that fell silent is waited for this many boot times longer than a
+/// A zone that became unresponsive is waited for this many boot times longer than a
 /// machine that did so alone: until replacements would be there.
-const REPLACED_BOOT: f64 = 1.5;
-/// Fewer than this many say nothing of all the others.
+const REPLACEMENT_BOOTS: f64 = 1.5;
+/// Beyond a report's interval: until a report counts as late where the cloud no longer
+/// lists the machine either.
+const UNLISTED_GRACE_MS: Millis = 1_500;
+/// A machine is deleted this long before the cloud reclaims it, if work still runs there.
+const RECLAIM_MARGIN_MS: Millis = 1_000;
+/// Fewer machines than this say nothing of all the others.
 const FEWEST_TO_JUDGE_BY: usize = 3;
 
-/// Why a machine is given up.
+/// Why a machine is decommissioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Failure {
-    Silent,
+    /// Its reports stopped.
+    Unresponsive,
     /// Missing from a list proves nothing, but together with a late report it is
     /// reason enough; the deletion is the proof.
-    SilentAndUnlisted,
-    NotReached,
-    NeverUp,
-    Sick,
-    Taken,
+    UnresponsiveAndUnlisted,
+    /// Its reports arrive, but neither answers nor commands reach it.
+    Unreachable,
+    /// It has not reported since it was requested.
+    BootFailed,
+    /// Tasks fail there that succeed elsewhere.
+    FailsTasks,
+    /// The cloud takes it back.
+    Reclaimed,
 }
 
 impl Failure {
+    /// In the order in which they are looked for.
+    const ALL: [Failure; 6] = [
+        Failure::Unresponsive,
+        Failure::UnresponsiveAndUnlisted,
+        Failure::Unreachable,
+        Failure::BootFailed,
+        Failure::FailsTasks,
+        Failure::Reclaimed,
+    ];
+
     fn text(self) -> &'static str {
         match self {
-            Failure::Silent => "silent",
-            Failure::SilentAndUnlisted => "silent and no longer listed",
-            Failure::NotReached => "heard, but not reached",
-            Failure::NeverUp => "never came up",
-            Failure::Sick => "fails its tasks",
-            Failure::Taken => "taken by the cloud",
+            Failure::Unresponsive => "silent",
+            Failure::UnresponsiveAndUnlisted => "silent and no longer listed",
+            Failure::Unreachable => "heard, but not reached",
+            Failure::BootFailed => "never came up",
+            Failure::FailsTasks => "fails its tasks",
+            Failure::Reclaimed => "taken by the cloud",
+        }
+    }
+
+    /// Whether a machine has failed in this way.
+    fn applies_to(self, status: &MachineStatus) -> bool {
+        let machine = status.machine;
+        match self {
+            Failure::Unresponsive => {
+                status.is_unresponsive
+                    && (!status.zone_is_silent || status.is_replaceable() && status.lease_has_expired())
+            }
+            Failure::UnresponsiveAndUnlisted => {
+                machine.cloud_listing.is_missing() && machine.heard_at.is_some() && status.is_report_late()
+            }
+            Failure::Unreachable => is_unreachable(machine) && !status.fleet.most_unreachable,
+            Failure::BootFailed => {
+                status.boot_has_failed() && status.no_sign_for(status.silence_ms) && status.lease_has_expired()
+            }
+            Failure::FailsTasks => machine.is_sick() && !status.fleet.most_fail_tasks,
+            Failure::Reclaimed => machine
+                .spot_reclaim_at
+                .is_some_and(|at| status.now + RECLAIM_MARGIN_MS > at || machine.open.is_empty()),
         }
     }
 }
 
+/// What is known of one machine, as far as it bears on its health.
+struct MachineStatus<'a> {
+    now: Millis,
+    machine: &'a Machine,
+    fleet: &'a FleetStatus,
+    is_unresponsive: bool,
+    zone_is_silent: bool,
+    silence_ms: Millis,
+    report_interval_ms: Millis,
+    lease_expiry_ms: Millis,
+    boot_s: f64,
+    /// Since when nothing was heard of it, though it could have been.
+    no_sign_since: Millis,
+}
+
+impl MachineStatus<'_> {
+    fn no_sign_for(&self, patience: Millis) -> bool {
+        self.now > self.no_sign_since + patience
+    }
+
+    /// A replacement asked for when it became unresponsive would be up by now.
+    fn is_replaceable(&self) -> bool {
+        self.no_sign_for(self.silence_ms + crate::millis(self.boot_s * REPLACEMENT_BOOTS))
+    }
+
+    fn is_report_late(&self) -> bool {
+        self.no_sign_for(self.report_interval_ms + UNLISTED_GRACE_MS)
+    }
+
+    /// Its worker has dropped its tasks.
+    fn lease_has_expired(&self) -> bool {
+        self.now > self.machine.answered_at + self.lease_expiry_ms
+    }
+
+    fn boot_has_failed(&self) -> bool {
+        let boot_ms = crate::millis(self.boot_s * BOOT_PATIENCE) + FIRST_SIGN_MS;
+        self.machine.last_sign().is_none() && self.now > self.machine.requested_at + boot_ms
+    }
+}
+
 /// When a machine was last known to be up.
-struct Heard {
+struct LastSign {
     machine: MachineIx,
     zone: ZoneIx,
     at: Millis,
 }
 
 /// What is judged of all machines together.
-struct Overview {
-    silent: BTreeSet<MachineIx>,
+struct FleetStatus {
+    unresponsive: BTreeSet<MachineIx>,
     /// When most seem not to be reached, or fail their tasks, all at once, it may be
     /// this controller that is cut off, or the jobs that are at fault, and deleting
     /// live machines is the costliest mistake.
-    most_unreached: bool,
-    most_sick: bool,
+    most_unreachable: bool,
+    most_fail_tasks: bool,
 }
 
-impl Shard {
-    /// Decommissions what is past use; its deletion is the proof that its tasks are over.
-    pub(super) fn decommission_failed(&mut self, now: Millis) {
-        let overview = self.overview(now);
-        for ix in self.workers.machines.indices() {
-            let silent = overview.silent.contains(&ix);
-            let Some(machine) = self
-                .workers
-                .machines
-                .get_mut(ix)
-                .filter(|machine| !machine.decommissioned)
-            else {
-                continue;
-            };
-            machine.silent = silent;
-            let Some(failure) = self.failure_of(now, ix, &overview) else {
+/// What follows from the health of the machines.
+#[derive(Debug, Default)]
+pub struct HealthAssessment {
+    /// Machines that count for nothing until they report again.
+    pub unresponsive: BTreeSet<MachineIx>,
+    /// Machines to be decommissioned: the deletion is the proof that their tasks are over.
+    pub failed: Vec<MachineIx>,
+}
+
+impl Fleet {
+    /// Judges the health of all machines that are not decommissioned yet.
+    pub fn assess_health(&mut self, context: &FleetContext) -> HealthAssessment {
+        let signs = last_signs(context);
+        // Their machines keep their images and need no boot, so they are waited for as
+        // long as new ones would take.
+        self.silent_zones = silent_zones(context, &signs);
+        let fleet = FleetStatus::new(context, &signs);
+        let mut failed = Vec::new();
+        for (ix, machine) in context.workers.machines.iter() {
+            if machine.decommissioned {
                 continue;
-            };
-            if let Some(machine) = self.workers.machines.get_mut(ix) {
-                tracing::info!(
-                    machine = machine.name,
-                    reason = failure.text(),
-                    "decommissioning a machine"
-                );
-                machine.decommissioned = true;
+            }
+            let status = self.status_of(context, &fleet, ix, machine);
+            if let Some(failure) = Failure::ALL.into_iter().find(|failure| failure.applies_to(&status)) {
+                let reason = failure.text();
+                tracing::info!(machine = machine.name, reason, "decommissioning a machine");
+                failed.push(ix);
             }
         }
-    }
-
-    pub(super) fn silence_ms(&self) -> Millis {
-        crate::millis(self.policy.silent_reports * self.workers.longest_report_interval_s())
-    }
-
-    /// Notes silent zones: their machines keep their images and need no boot, so
-    /// they are waited for as long as new ones would take.
-    fn overview(&mut self, now: Millis) -> Overview {
-        let silence_ms = self.silence_ms();
-        let heard: Vec<Heard> = self
-            .workers
-            .machines
-            .iter()
-            .filter_map(|(ix, machine)| {
-                Some(Heard {
-                    machine: ix,
-                    zone: machine.zone,
-                    at: machine.last_sign()?.max(self.workers.hearing_since),
-                })
-            })
-            .collect();
-        // Told by half that silence: the first to be given up would else go one by
-        // one before the others, which reported a little later, count as silent.
-        let zones = (0..self.topology.zones.len()).map(ZoneIx::from_usize);
-        self.fleet.silent_zones = zones
-            .filter(|&zone| {
-                let of_zone = heard.iter().filter(|heard| heard.zone == zone);
-                let late = of_zone.clone().filter(|heard| now > heard.at + silence_ms / 2);
-                is_most(late.count(), of_zone.count())
-            })
-            .collect();
-        let silent = heard.iter().filter(|heard| now > heard.at + silence_ms);
-        let count =
-            |bad: &dyn Fn(&Machine) -> bool| self.workers.machines.iter().filter(|(_, machine)| bad(machine)).count();
-        Overview {
-            silent: silent.map(|heard| heard.machine).collect(),
-            most_unreached: is_most(count(&is_unreached), heard.len()),
-            most_sick: is_most(count(&Machine::is_sick), heard.len()),
+        HealthAssessment {
+            unresponsive: fleet.unresponsive,
+            failed,
         }
     }
 
-    fn failure_of(&self, now: Millis, ix: MachineIx, overview: &Overview) -> Option<Failure> {
-        let machine = self.workers.machines.get(ix)?;
-        let boot_s = self.boot_s_of(machine);
-        let silence_ms = self.silence_ms();
-        let unlisted_ms = crate::millis(self.workers.longest_report_interval_s()) + 1_500;
-        let expired = now > machine.answered_at + self.workers.lease_expiry_ms;
-        let since = machine
-            .last_sign()
-            .unwrap_or(machine.requested_at)
-            .max(self.workers.hearing_since);
-        let unheard = |patience: Millis| now > since + patience;
-        let zone_is_silent = self.fleet.silent_zones.contains(&machine.zone);
-        let replaced_ms = silence_ms + crate::millis(boot_s * REPLACED_BOOT);
-        let boot_ms = crate::millis(boot_s * BOOT_PATIENCE) + FIRST_SIGN_MS;
-        if machine.silent && (!zone_is_silent || unheard(replaced_ms) && expired) {
-            Some(Failure::Silent)
-        } else if machine.cloud_listing.is_missing() && machine.heard_at.is_some() && unheard(unlisted_ms) {
-            Some(Failure::SilentAndUnlisted)
-        } else if is_unreached(machine) && !overview.most_unreached {
-            Some(Failure::NotReached)
-        } else if machine.last_sign().is_none()
-            && now > machine.requested_at + boot_ms
-            && unheard(silence_ms)
-            && expired
-        {
-            Some(Failure::NeverUp)
-        } else if machine.is_sick() && !overview.most_sick {
-            Some(Failure::Sick)
-        } else if machine
-            .spot_reclaim_at
-            .is_some_and(|at| now + 1_000 > at || machine.open.is_empty())
-        {
-            Some(Failure::Taken)
-        } else {
-            None
+    fn status_of<'a>(
+        &self,
+        context: &FleetContext,
+        fleet: &'a FleetStatus,
+        ix: MachineIx,
+        machine: &'a Machine,
+    ) -> MachineStatus<'a> {
+        let workers = context.workers;
+        let last_sign = machine.last_sign().unwrap_or(machine.requested_at);
+        MachineStatus {
+            now: context.now,
+            machine,
+            fleet,
+            is_unresponsive: fleet.unresponsive.contains(&ix),
+            zone_is_silent: self.silent_zones.contains(&machine.zone),
+            silence_ms: context.silence_ms(),
+            report_interval_ms: crate::millis(workers.longest_report_interval_s()),
+            lease_expiry_ms: workers.lease_expiry_ms,
+            boot_s: context.topology.boot_s(machine.type_ix),
+            no_sign_since: last_sign.max(workers.hearing_since),
         }
     }
+}
 
-    fn boot_s_of(&self, machine: &Machine) -> f64 {
-        let info = self.topology.type_info[machine.type_ix.usize()].as_ref();
-        info.map_or(UNKNOWN_BOOT_S, |info| info.boot_s)
+impl FleetStatus {
+    fn new(context: &FleetContext, signs: &[LastSign]) -> FleetStatus {
+        let silence_ms = context.silence_ms();
+        let unresponsive = signs.iter().filter(|sign| context.now > sign.at + silence_ms);
+        let machines = || context.workers.machines.iter().map(|(_, machine)| machine);
+        let unreachable = machines().filter(|machine| is_unreachable(machine)).count();
+        let fail_tasks = machines().filter(|machine| machine.is_sick()).count();
+        FleetStatus {
+            unresponsive: unresponsive.map(|sign| sign.machine).collect(),
+            most_unreachable: is_most(unreachable, signs.len()),
+            most_fail_tasks: is_most(fail_tasks, signs.len()),
+        }
     }
+}
 
-    /// Whether a machine should have shown itself by now. One in a silent zone may be
-    /// up and cut off, and a leader that has just begun to hear can't tell yet.
-    pub(super) fn is_late(&self, now: Millis, machine: &Machine) -> bool {
-        let due_ms = crate::millis(self.boot_s_of(machine) * LATE_BOOT + self.workers.longest_report_interval_s());
-        machine.last_sign().is_none()
-            && now > machine.requested_at + due_ms
-            && now > self.workers.hearing_since + FIRST_SIGN_MS
-            && !self.fleet.silent_zones.contains(&machine.zone)
-    }
+/// Of the machines that were ever known to be up.
+fn last_signs(context: &FleetContext) -> Vec<LastSign> {
+    let hearing_since = context.workers.hearing_since;
+    let machines = context.workers.machines.iter();
+    machines
+        .filter_map(|(ix, machine)| {
+            Some(LastSign {
+                machine: ix,
+                zone: machine.zone,
+                at: machine.last_sign()?.max(hearing_since),
+            })
+        })
+        .collect()
+}
 
-    /// Offers most of whose machines still to come are late: what is asked for there
-    /// now would hardly come sooner.
-    pub(super) fn late_offers(&self, now: Millis) -> BTreeSet<Offer> {
-        let mut counts: BTreeMap<Offer, (usize, usize)> = BTreeMap::new();
-        for (_, machine) in self.workers.machines.iter() {
-            if machine.last_sign().is_none() && !machine.decommissioned {
-                let (late, all) = counts.entry(machine.offer()).or_default();
-                *late += usize::from(self.is_late(now, machine));
-                *all += 1;
-            }
-        }
-        let failing = counts.into_iter().filter(|&(_, (late, all))| is_most(late, all));
-        failing.map(|(offer, _)| offer).collect()
-    }
+/// Zones most of whose machines have become unresponsive.
+///
+/// Told by half the silence that it takes of one machine: the first to be given up would
+/// else go one by one before the others, which reported a little later, count as such.
+fn silent_zones(context: &FleetContext, signs: &[LastSign]) -> BTreeSet<ZoneIx> {
+    let patience = context.silence_ms() / 2;
+    let zones = (0..context.topology.zones.len()).map(ZoneIx::from_usize);
+    zones
+        .filter(|&zone| {
+            let of_zone = signs.iter().filter(|sign| sign.zone == zone);
+            let silent = of_zone.clone().filter(|sign| context.now > sign.at + patience);
+            is_most(silent.count(), of_zone.count())
+        })
+        .collect()
 }
 
-fn is_most(count: usize, all: usize) -> bool {
+/// Whether `count` is most of `all`, and enough to judge by.
+pub(super) fn is_most(count: usize, all: usize) -> bool {
     count >= FEWEST_TO_JUDGE_BY && count * 2 > all
 }
 
-fn is_unreached(machine: &Machine) -> bool {
+fn is_unreachable(machine: &Machine) -> bool {
     machine.missed_answers >= MISSED_ANSWERS_TO_DECOMMISSION
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,76 +1,78 @@
-//! Renting and returning machines: what the forecast needs, at what price, and
-//! which machines are past use.
+//! Scaling the fleet out and in: what the forecast needs, at what price, and which
+//! machines are past use.
+//!
+//! The planning reads the rest of the shard through a [`FleetContext`] and returns what
+//! is to be done: machine requests to be written, and machines to be decommissioned.
 
+mod boot;
+mod cloud_calls;
+mod context;
+mod demand;
 mod forecast;
 mod health;
 mod inventory;
+mod offers;
+mod planned;
 mod provision;
 
+pub use cloud_calls::{CallState, PendingMachineRequest};
+pub use context::FleetContext;
+pub use health::HealthAssessment;
 pub use inventory::{Group, GroupValue, Inventory, InventoryMember};
+pub use provision::ScalingPlan;
 
 use crate::Millis;
-use crate::controller::Shard;
-use crate::ids::{ClassIx, ZoneIx};
-use crate::resources::Shape;
+use crate::ids::ZoneIx;
 use crate::topology::Offer;
+use forecast::Forecast;
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
+
+#[cfg(test)]
+pub(crate) use {
+    demand::CapacityNeed,
+    offers::{OfferSearch, PurchaseScope},
+};
 
 const PLAN_EVERY_MS: Millis = 1_000;
-/// Boot time of a type that the catalogue does not give.
-const UNKNOWN_BOOT_S: f64 = 60.0;
+/// The cloud's list is read again this long after its end.
+pub(crate) const LIST_EVERY_MS: Millis = 3_000;
+/// Beyond a boot: until a new machine is listed or has reported.
+const FIRST_SIGN_MS: Millis = 10_000;
 
 /// A machine request's key, written before the cloud is asked, so that a successor can
 /// repeat the same request and learn what came of it.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRequestRecord {
+    /// Name of the request, by which the cloud knows a repetition.
     pub request: String,
+    /// Name of the type of the machines.
     pub machine_type: String,
+    /// Name of the zone.
     pub zone: String,
+    /// Whether spot machines are asked for.
     pub spot: bool,
+    /// How many machines.
     pub count: u32,
 }
 
-/// A machine request written and not yet answered for.
-#[derive(Clone, Debug)]
-pub struct PendingMachineRequest {
-    pub value: MachineRequestRecord,
-    pub version: u64,
-    pub in_flight: bool,
-    pub not_before: Millis,
-}
-
-/// What the jobs of one class ask of machines, and how many at once.
-#[derive(Clone, Debug, Default)]
-pub struct Demand {
-    pub shape: Shape,
-    /// Runs in what the others leave, and rents no ordinary machines.
-    pub best_effort: bool,
-    pub now: f64,
-    /// Of these, what new machines would still be there for in time.
-    pub lasting: f64,
-    /// The same for spot machines, which need less of a reason.
-    pub spot: f64,
-    /// Samples of tasks wanted at once, over the forecast period.
-    pub history: VecDeque<(Millis, f64)>,
-}
-
+/// What the leader knows of the fleet beyond the single machines.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    pub machine_requests: Vec<PendingMachineRequest>,
-    next_request: u64,
     /// What a successor must know of the machines.
     pub inventory: Inventory,
+    /// The reading of the cloud's list, page by page.
+    pub(crate) listing: CallState,
+    /// The deletion of decommissioned machines.
+    pub(crate) deletion: CallState,
+    /// Zones most of whose machines have become unresponsive: most likely cut off.
+    pub(crate) silent_zones: BTreeSet<ZoneIx>,
+    machine_requests: Vec<PendingMachineRequest>,
+    next_request: u64,
     /// Offers refused lately, and until when they are left alone.
-    pub refused: BTreeMap<Offer, Millis>,
-    /// Zones most of whose machines have fallen silent: most likely cut off.
-    pub silent_zones: BTreeSet<ZoneIx>,
-    pub demand: BTreeMap<ClassIx, Demand>,
-    pub planned_at: Millis,
-    pub listed_at: Millis,
-    pub listing: bool,
-    pub deleting: bool,
-    pub delete_not_before: Millis,
+    refused: BTreeMap<Offer, Millis>,
+    forecast: Forecast,
+    planned_at: Millis,
 }
 
 impl Fleet {
@@ -78,21 +80,31 @@
     pub fn new(value_kb: f64) -> Fleet {
         Fleet {
             inventory: Inventory::new(value_kb),
+            listing: CallState::NotBefore(LIST_EVERY_MS),
             ..Fleet::default()
         }
     }
-}
 
-impl Shard {
-    /// Looks over the machines and the forecast; rents and condemns.
-    pub fn plan_fleet(&mut self, now: Millis) {
-        if now < self.fleet.planned_at + PLAN_EVERY_MS {
-            return;
+    /// Whether the fleet is to be planned now; if so, the next time is a while from now.
+    pub fn start_planning(&mut self, now: Millis) -> bool {
+        let is_due = now >= self.planned_at + PLAN_EVERY_MS;
+        if is_due {
+            self.planned_at = now;
         }
-        self.fleet.planned_at = now;
-        self.decommission_failed(now);
-        let wants = self.forecast(now);
-        self.provision(now, wants);
+        is_due
+    }
+
+    /// The forecast of the demand, with a sample of what is wanted now, and the machines
+    /// to be asked for and to be decommissioned for it.
+    pub fn plan(&mut self, context: &FleetContext) -> ScalingPlan {
+        let needs = self.forecast.update(context);
+        self.plan_scaling(context, needs)
+    }
+
+    /// Tasks of each class to be ready for.
+    #[cfg(test)]
+    pub(crate) fn update_forecast(&mut self, context: &FleetContext) -> Vec<CapacityNeed> {
+        self.forecast.update(context)
     }
 }
 
--- a/src/fleet/provision.rs
+++ b/src/fleet/provision.rs
@@ -1,239 +1,157 @@
-//! Renting for the forecast what the machines there are can't take, at the best
-//! price, and returning what stays unused.
+//! Scaling out for what the machines there are can't take of the forecast, at the best
+//! price, and scaling in what stays unused.
 
-use super::MachineRequestRecord;
-use super::forecast::Want;
-use crate::Millis;
-use crate::controller::Shard;
-use crate::ids::{Index, MachineIx, TypeIx};
-use crate::resources::Resources;
+use super::demand::CapacityNeed;
+use super::offers::{OfferSearch, PurchaseScope};
+use super::planned::PlannedMachine;
+use super::{Fleet, FleetContext, MachineRequestRecord};
+use crate::ids::MachineIx;
 use crate::topology::Offer;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 /// Machines asked for at once by one request: the most that the cloud takes.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
 /// Unanswered requests for one offer. More would only queue for the cloud's
 /// rate, and all but the first be in vain where there is no capacity.
-const MAX_PENDING_REQUESTS: u32 = 2;
+const MAX_PENDING_REQUESTS: usize = 2;
+/// An on-demand machine is returned after this part of the time that a spot machine may
+/// stay unused.
+const ON_DEMAND_IDLE_DIVISOR: u64 = 3;
 
-/// A machine there is or, without an index, one asked for.
-pub(super) struct Place {
-    machine: Option<MachineIx>,
-    offer: Offer,
-    idle: bool,
-    resources: Resources,
-    used: bool,
+/// What the fleet is to be changed by.
+#[derive(Debug, Default)]
+pub struct ScalingPlan {
+    /// Requests to be written to the state service, and then sent to the cloud.
+    pub machine_requests: Vec<MachineRequestRecord>,
+    /// Machines to be decommissioned, as nothing needs them.
+    pub idle_machines: Vec<MachineIx>,
 }
 
-/// Takes room for the wanted tasks in the places there are; gives how many are left.
-fn fill_places(places: &mut [Place], want: &Want) -> u32 {
-    let mut left = want.count;
-    for place in places {
-        if left == 0 {
-            break;
-        }
-        let Offer { type_ix, zone, spot } = place.offer;
-        if !want.shape.allows(type_ix, zone, spot) {
-            continue;
-        }
-        // Headroom is not worth an ordinary machine.
-        let most = if spot || !want.shape.spot {
-            left
-        } else {
-            left.saturating_sub(want.count.saturating_sub(want.firm))
-        };
-        let fits = place.resources.count(want.shape.resources).min(most);
-        for _ in 0..fits {
-            place.resources.take(want.shape.resources);
+impl Fleet {
+    /// Packs the forecast into the machines there are and on their way; scales out
+    /// for what is left over and scales in what stays unused.
+    pub(crate) fn plan_scaling(&mut self, context: &FleetContext, needs: Vec<CapacityNeed>) -> ScalingPlan {
+        let mut machines = self.planned_machines(context);
+        let purchases = self.choose_purchases(context, &needs, &mut machines);
+        ScalingPlan {
+            machine_requests: self.request_machines(context, purchases),
+            idle_machines: idle_machines(context, &machines),
         }
-        place.used |= fits > 0;
-        left -= fits;
     }
-    left
-}
 
-impl Shard {
-    /// Packs the forecast into the machines there are and on their way; rents
-    /// for what is left over and returns what stays unused.
-    pub(super) fn provision(&mut self, now: Millis, wants: Vec<Want>) {
-        let mut places = self.places(now);
-        let late_offers = self.late_offers(now);
-        let mut in_zone = vec![0u32; self.topology.zones.len()];
-        for place in &places {
-            in_zone[place.offer.zone.usize()] += 1;
+    /// How many machines to ask for of each offer, for what finds no room.
+    fn choose_purchases(
+        &self,
+        context: &FleetContext,
+        needs: &[CapacityNeed],
+        machines: &mut [PlannedMachine],
+    ) -> BTreeMap<Offer, u32> {
+        let mut search = OfferSearch::new(self, context);
+        search.avoid(self.overdue_offers(context));
+        for machine in machines.iter() {
+            search.count_machine(machine.offer.zone);
         }
-        let mut new_machines: BTreeMap<Offer, u32> = BTreeMap::new();
-        for want in wants {
-            let mut left = fill_places(&mut places, &want);
-            while left > 0 {
-                let ordinary = want.count - left < want.firm;
-                let Some((offer, fits)) = self.best_offer(now, &want, left, ordinary, &in_zone, &late_offers) else {
+        let mut purchases: BTreeMap<Offer, u32> = BTreeMap::new();
+        for need in needs {
+            let mut tasks_left = pack(machines, need);
+            while tasks_left > 0 {
+                let scope = if need.count - tasks_left < need.on_demand_count {
+                    PurchaseScope::SpotOrOnDemand
+                } else {
+                    PurchaseScope::SpotOnly
+                };
+                let Some(choice) = search.best(need, tasks_left, scope) else {
                     break;
                 };
-                *new_machines.entry(offer).or_default() += 1;
-                in_zone[offer.zone.usize()] += 1;
-                left = left.saturating_sub(fits);
+                *purchases.entry(choice.offer).or_default() += 1;
+                search.count_machine(choice.offer.zone);
+                tasks_left = tasks_left.saturating_sub(choice.tasks_per_machine);
             }
         }
-        self.request_machines(new_machines);
-        self.scale_in_idle(now, &places);
+        purchases
     }
 
-    fn request_machines(&mut self, new_machines: BTreeMap<Offer, u32>) {
-        // Those given up are there until the cloud says that they are gone.
-        let mut total =
-            self.workers.machines.len() as u32 + self.pending_machine_requests().map(|(_, count)| count).sum::<u32>();
-        for (offer, count) in new_machines {
-            let most = (self.policy.max_machines as u32).saturating_sub(total);
+    /// The requests for these machines, within the limits on the size of the fleet and
+    /// on what is asked for at a time.
+    fn request_machines(
+        &mut self,
+        context: &FleetContext,
+        purchases: BTreeMap<Offer, u32>,
+    ) -> Vec<MachineRequestRecord> {
+        // Those decommissioned are there until the cloud says that they are gone.
+        let requested: u32 = self.requested_capacity(context).map(|requested| requested.count).sum();
+        let mut total = context.workers.machines.len() as u32 + requested;
+        let mut requests = Vec::new();
+        for (offer, count) in purchases {
+            let most = (context.policy.max_machines as u32).saturating_sub(total);
             let mut left = count.min(most);
-            let mut open = self
-                .pending_machine_requests()
-                .filter(|&(other, _)| other == offer)
-                .count() as u32;
-            while left > 0 && open < MAX_PENDING_REQUESTS {
+            let pending = self.requested_capacity(context).filter(|other| other.offer == offer);
+            let mut pending = pending.count();
+            while left > 0 && pending < MAX_PENDING_REQUESTS {
                 let count = left.min(MAX_MACHINES_PER_REQUEST);
-                self.machine_request(offer, count);
+                requests.push(self.machine_request(context, offer, count));
                 total += count;
                 left -= count;
-                open += 1;
+                pending += 1;
             }
         }
+        requests
     }
 
-    /// The machines there are and those asked for. Small and busy ones come
-    /// first and so are filled first, idle and dear ones last.
-    pub(super) fn places(&self, now: Millis) -> Vec<Place> {
-        let mut places = Vec::with_capacity(self.workers.machines.len());
-        for (ix, machine) in self.workers.machines.iter() {
-            let leaving = machine.decommissioned || machine.silent || machine.spot_reclaim_at.is_some();
-            if leaving || machine.group.is_none() || self.is_late(now, machine) {
-                continue;
-            }
-            if let Some(info) = &self.topology.type_info[machine.type_ix.usize()] {
-                places.push(Place {
-                    machine: Some(ix),
-                    offer: machine.offer(),
-                    idle: machine.open.is_empty(),
-                    resources: info.resources,
-                    used: false,
-                });
-            }
-        }
-        for (offer, count) in self.pending_machine_requests() {
-            if let Some(info) = &self.topology.type_info[offer.type_ix.usize()] {
-                places.extend((0..count).map(|_| Place {
-                    machine: None,
-                    offer,
-                    idle: true,
-                    resources: info.resources,
-                    used: false,
-                }));
-            }
+    fn machine_request(&mut self, context: &FleetContext, offer: Offer, count: u32) -> MachineRequestRecord {
+        // The term is ours alone, so the name was never used before.
+        let request = format!("{}-{}-{}", context.shard_name, context.term, self.next_request);
+        self.next_request += 1;
+        MachineRequestRecord {
+            request,
+            machine_type: context.topology.types.name(offer.type_ix).into(),
+            zone: context.topology.zones.name(offer.zone).into(),
+            spot: offer.spot,
+            count,
         }
-        places.sort_by(|a, b| {
-            let rest = (a.idle, !a.offer.spot).cmp(&(b.idle, !b.offer.spot));
-            a.resources.cpus.total_cmp(&b.resources.cpus).then(rest)
-        });
-        places
-    }
-
-    /// Requests that are not answered yet: what for, and how many machines.
-    fn pending_machine_requests(&self) -> impl Iterator<Item = (Offer, u32)> {
-        let machine_requests = self
-            .fleet
-            .machine_requests
-            .iter()
-            .map(|machine_request| &machine_request.value);
-        machine_requests
-            .chain(&self.pending_writes.machine_requests)
-            .filter_map(|machine_request| {
-                let type_ix = self.topology.types.get(&machine_request.machine_type)?;
-                let zone = self.topology.zones.get(&machine_request.zone)?;
-                let offer = Offer {
-                    type_ix,
-                    zone,
-                    spot: machine_request.spot,
-                };
-                Some((offer, machine_request.count))
-            })
     }
+}
 
-    fn scale_in_idle(&mut self, now: Millis, places: &[Place]) {
-        let idle_ms = crate::millis(self.policy.idle_return_s);
-        for place in places.iter().filter(|place| !place.used) {
-            let Some(machine) = place.machine.and_then(|ix| self.workers.machines.get_mut(ix)) else {
-                continue;
-            };
-            let up = machine.heard_at.is_some();
-            let idle_ms = if machine.spot { idle_ms } else { idle_ms / 3 };
-            if up && machine.open.is_empty() && now > machine.idle_since + idle_ms {
-                tracing::info!(machine = machine.name, "scaling in an idle machine");
-                machine.decommissioned = true;
-            }
+/// Takes room for the needed tasks on these machines; gives how many are left.
+fn pack(machines: &mut [PlannedMachine], need: &CapacityNeed) -> u32 {
+    let mut left = need.count;
+    for machine in machines {
+        if left == 0 {
+            break;
         }
-    }
-
-    /// The cheapest way to rent room for the wanted tasks.
-    /// One whose machines are late only where there is no other.
-    pub(super) fn best_offer(
-        &self,
-        now: Millis,
-        want: &Want,
-        left: u32,
-        ordinary: bool,
-        in_zone: &[u32],
-        late_offers: &BTreeSet<Offer>,
-    ) -> Option<(Offer, u32)> {
-        let mut best: Option<((bool, f64, u32), Offer, u32)> = None;
-        for (type_ix, info) in self.topology.type_info.iter().enumerate() {
-            let Some(info) = info else {
-                continue;
-            };
-            let type_ix = TypeIx::from_usize(type_ix);
-            let fits = info.resources.count(want.shape.resources);
-            if fits == 0 {
-                continue;
-            }
-            for &zone in &info.zones {
-                // New ones there could not be reached either.
-                if self.fleet.silent_zones.contains(&zone) {
-                    continue;
-                }
-                for spot in [true, false] {
-                    let price = match (spot, info.spot_price) {
-                        (true, Some(price)) => price,
-                        (true, None) => continue,
-                        (false, _) if ordinary || !want.shape.spot => info.price,
-                        (false, _) => continue,
-                    };
-                    if !want.shape.allows(type_ix, zone, spot) {
-                        continue;
-                    }
-                    let offer = Offer { type_ix, zone, spot };
-                    if self.fleet.refused.get(&offer).is_some_and(|&until| now < until) {
-                        continue;
-                    }
-                    let cost = price / f64::from(fits.min(left));
-                    let rank = (late_offers.contains(&offer), cost, in_zone[zone.usize()]);
-                    if best.is_none_or(|(other, ..)| rank < other) {
-                        best = Some((rank, offer, fits));
-                    }
-                }
-            }
+        let Offer { type_ix, zone, spot } = machine.offer;
+        if !need.shape.allows(type_ix, zone, spot) {
+            continue;
         }
-        best.map(|(_, offer, fits)| (offer, fits))
+        // Headroom is not worth an on-demand machine.
+        let most = if spot || !need.shape.spot {
+            left
+        } else {
+            left.saturating_sub(need.count.saturating_sub(need.on_demand_count))
+        };
+        left -= machine.take(need.shape.resources, most);
     }
+    left
+}
 
-    fn machine_request(&mut self, Offer { type_ix, zone, spot }: Offer, count: u32) {
-        // The term is ours alone, so the name was never used before.
-        let request = format!("{}-{}-{}", self.name, self.term, self.fleet.next_request);
-        self.fleet.next_request += 1;
-        self.pending_writes.machine_requests.push_back(MachineRequestRecord {
-            request,
-            machine_type: self.topology.types.name(type_ix).into(),
-            zone: self.topology.zones.name(zone).into(),
-            spot,
-            count,
-        });
+/// The machines that were left out of the packing and have been idle for long.
+fn idle_machines(context: &FleetContext, machines: &[PlannedMachine]) -> Vec<MachineIx> {
+    let spot_idle_ms = crate::millis(context.policy.idle_return_s);
+    let mut idle = Vec::new();
+    for ix in machines.iter().filter_map(PlannedMachine::unused_machine) {
+        let Some(machine) = context.workers.machines.get(ix) else {
+            continue;
+        };
+        let idle_ms = if machine.spot {
+            spot_idle_ms
+        } else {
+            spot_idle_ms / ON_DEMAND_IDLE_DIVISOR
+        };
+        let is_up = machine.heard_at.is_some();
+        if is_up && machine.open.is_empty() && context.now > machine.idle_since + idle_ms {
+            tracing::info!(machine = machine.name, "scaling in an idle machine");
+            idle.push(ix);
+        }
     }
+    idle
 }
--- a/src/topology.rs
+++ b/src/topology.rs
@@ -2,34 +2,77 @@
 
 use crate::ids::{Index, Names, TypeIx, ZoneIx};
 use crate::resources::Resources;
-use crate::wire::Catalogue;
+use crate::wire::{Catalogue, MachineType};
+
+/// Boot time of a type that the catalogue does not give.
+const UNKNOWN_BOOT_S: f64 = 60.0;
 
 /// A type of machine as the catalogue gives it.
 #[derive(Clone, Debug)]
 pub struct TypeInfo {
+    /// What a machine of this type has room for.
     pub resources: Resources,
+    /// Room for images.
     pub cache_gb: f64,
+    /// How fast images are fetched.
     pub fetch_gb_per_s: f64,
+    /// Price of an on-demand machine.
     pub price: f64,
+    /// Price of a spot machine, if the type is offered as one.
     pub spot_price: Option<f64>,
+    /// Time from the request for a machine until its worker reports.
     pub boot_s: f64,
+    /// The zones in which the type is offered.
     pub zones: Vec<ZoneIx>,
 }
 
-/// One way of renting a machine.
+impl TypeInfo {
+    /// Price of a machine in this market, if the type is offered there.
+    pub fn price_in(&self, market: Market) -> Option<f64> {
+        match market {
+            Market::Spot => self.spot_price,
+            Market::OnDemand => Some(self.price),
+        }
+    }
+}
+
+/// On which terms a machine is bought.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Market {
+    /// At a lower price, and the cloud may reclaim it at short notice.
+    Spot,
+    /// At the full price, for as long as it is wanted.
+    OnDemand,
+}
+
+/// One thing that the cloud sells: machines of a type, in a zone, as spot or on-demand
+/// machines. Capacity, refusals and failed boots are counted for each offer by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
+    /// The type of the machines.
     pub type_ix: TypeIx,
+    /// Where they are.
     pub zone: ZoneIx,
+    /// Whether they are spot machines, and not on-demand ones.
     pub spot: bool,
 }
 
+impl Offer {
+    /// On which terms its machines are bought.
+    pub fn market(&self) -> Market {
+        if self.spot { Market::Spot } else { Market::OnDemand }
+    }
+}
+
 /// The types of machines and the zones that are known by name, from the settings, the
 /// catalogue, jobs or machines.
 #[derive(Debug, Default)]
 pub struct Topology {
+    /// Indices of the types.
     pub types: Names<TypeIx>,
+    /// Indices of the zones.
     pub zones: Names<ZoneIx>,
+    /// What the catalogue says of each type; `None` where it does not list the type.
     pub type_info: Vec<Option<TypeInfo>>,
 }
 
@@ -45,22 +88,25 @@
 
     /// Takes the types of machines as the catalogue gives them.
     pub fn set_catalogue(&mut self, catalogue: &Catalogue) {
-        for info in &catalogue.types {
-            let ix = self.type_ix(&info.name).usize();
-            let zones = info.zones.iter().map(|zone| self.zones.intern(zone)).collect();
-            self.type_info[ix] = Some(TypeInfo {
-                resources: Resources {
-                    cpus: info.cpus,
-                    gpus: info.gpus,
-                    memory_gb: info.memory_gb,
-                },
-                cache_gb: info.cache_gb,
-                fetch_gb_per_s: info.fetch_gb_per_s,
-                price: info.price,
-                spot_price: info.spot_price,
-                boot_s: info.boot_s,
-                zones,
-            });
+        for machine_type in &catalogue.types {
+            let ix = self.type_ix(&machine_type.name).usize();
+            self.type_info[ix] = Some(self.info_of(machine_type));
+        }
+    }
+
+    fn info_of(&mut self, machine_type: &MachineType) -> TypeInfo {
+        TypeInfo {
+            resources: Resources {
+                cpus: machine_type.cpus,
+                gpus: machine_type.gpus,
+                memory_gb: machine_type.memory_gb,
+            },
+            cache_gb: machine_type.cache_gb,
+            fetch_gb_per_s: machine_type.fetch_gb_per_s,
+            price: machine_type.price,
+            spot_price: machine_type.spot_price,
+            boot_s: machine_type.boot_s,
+            zones: machine_type.zones.iter().map(|zone| self.zones.intern(zone)).collect(),
         }
     }
 
@@ -77,4 +123,33 @@
     pub fn cover_all_types(&mut self) {
         self.type_info.resize(self.types.len(), None);
     }
+
+    /// What the catalogue says of a type, if it lists it.
+    pub fn info(&self, type_ix: TypeIx) -> Option<&TypeInfo> {
+        self.type_info[type_ix.usize()].as_ref()
+    }
+
+    /// How long machines of a type boot.
+    pub fn boot_s(&self, type_ix: TypeIx) -> f64 {
+        self.info(type_ix).map_or(UNKNOWN_BOOT_S, |info| info.boot_s)
+    }
+
+    /// The shortest boot of a machine that has room for a task of this size.
+    pub fn shortest_boot_s(&self, needed: Resources) -> f64 {
+        let infos = self.type_info.iter().flatten();
+        infos
+            .filter(|info| info.resources.fits(needed))
+            .map(|info| info.boot_s)
+            .reduce(f64::min)
+            .unwrap_or(UNKNOWN_BOOT_S)
+    }
+
+    /// The offer of this type and zone by name, if both names are known.
+    pub fn find_offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<Offer> {
+        Some(Offer {
+            type_ix: self.types.get(machine_type)?,
+            zone: self.zones.get(zone)?,
+            spot,
+        })
+    }
 }
