--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -4,6 +4,7 @@
 use super::{CloudReply, CloudRequest, Controller, Output, Purpose};
 use crate::Millis;
 use crate::fleet::{LIST_EVERY_MS, MachineRequestRecord};
+use crate::persistence::AnsweredRequest;
 use crate::store::{StoreRequest, TokenBucket};
 use crate::wire::{Catalogue, Change, MachineList, MachineNames, MachineRequest, Transaction};
 use serde_json::json;
@@ -214,8 +215,10 @@
             shard.fleet.refuse(offer, now + REFUSED_MS);
         }
         add_provisioned(shard, now, &record, machines);
-        let settled = (record.request, pending.version);
-        shard.pending_writes.settled.push_back(settled);
+        shard.pending_writes.queue_answered_request(AnsweredRequest {
+            request: record.request,
+            version: pending.version,
+        });
     }
 
     fn machines_deleted(&mut self, machines: &[String]) {
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -2,7 +2,8 @@
 use super::*;
 use crate::policy::Policy;
 use crate::settings::{Settings, tests::SAMPLE};
-use crate::wire::JobState;
+use crate::wire::{Change, JobState, Transaction};
+use serde_json::Value;
 
 const START: Millis = 1_000_000;
 
@@ -61,7 +62,7 @@
     let flight = controller
         .shard
         .as_ref()
-        .and_then(|shard| shard.pending_writes.in_flight.as_ref());
+        .and_then(|shard| shard.pending_writes.in_flight());
     let changes = &flight.expect("in flight").transaction.changes;
     let value = changes.iter().find_map(|change| match change {
         Change::Put { put, value, .. } if put.contains("firing") => Some(value.clone()),
@@ -80,7 +81,7 @@
     controller
         .shard
         .as_ref()
-        .is_some_and(|shard| shard.pending_writes.in_flight.is_some())
+        .is_some_and(|shard| shard.pending_writes.is_in_flight())
 }
 
 /// Guards against a read of everything under a new term for each transaction
--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -1,125 +1,152 @@
-//! What a new leader reads back from the state service.
+//! What a new leader reads back from the state service: machines first, then machine
+//! requests, then every written chunk of tasks. Jobs come by the watch cache before
+//! the chunks.
 
 use super::Shard;
 use crate::Millis;
 use crate::fleet::{GroupValue, InventoryMember, MachineRequestRecord};
-use crate::ids::Index;
-use crate::pipeline::ChunkValue;
+use crate::ids::{GroupIx, JobIx, MachineIx};
+use crate::persistence::{StoredValueError, read_value};
+use crate::pipeline::{ChunkValue, Job, OpenRecord};
 use crate::wire::Entry;
 use crate::workers::{Attempt, Machine};
+use thiserror::Error;
+
+/// Why a key of the former leader can't be taken over.
+#[derive(Debug, Error)]
+enum LoadError {
+    #[error(transparent)]
+    Value(#[from] StoredValueError),
+    #[error("`{key}` is of a job that is not there")]
+    UnknownJob { key: String },
+}
 
 impl Shard {
-    /// Takes over what the former leader left: machines first, then machine requests, then
-    /// every written firing. Jobs come by the watch cache before these.
+    /// Takes over a group of the inventory with its machines.
     pub fn load_group(&mut self, now: Millis, name: &str, entry: &Entry) {
-        let Ok(value) = serde_json::from_value::<GroupValue>(entry.value.clone()) else {
-            tracing::error!(key = entry.key, "an inventory key can't be read");
-            return;
-        };
-        let group_ix = self.fleet.inventory.load(name, entry.version);
-        for member in value.machines {
-            let InventoryMember {
-                name, address, spot, ..
-            } = member;
-            let type_ix = self.topology.type_ix(&member.machine_type);
-            let zone = self.topology.zones.intern(&member.zone);
-            let machine = Machine {
-                known_up_at: address.is_some().then_some(now),
-                address,
-                group: Some(group_ix),
-                written: true,
-                // A start sent under an earlier term may still be on its way.
-                unconfirmed_start_term: self.term.saturating_sub(1),
-                ..Machine::new(&name, type_ix, zone, spot, now)
-            };
-            let ix = self.workers.machines.insert(&name, machine);
-            if let Some(group) = self.fleet.inventory.groups.get_mut(group_ix) {
-                group.members.insert(ix);
+        match read_value::<GroupValue>(entry) {
+            Ok(value) => {
+                let group = self.fleet.inventory.load(name, entry.version);
+                for member in value.machines {
+                    self.load_machine(now, group, member);
+                }
             }
+            Err(error) => tracing::error!(%error, "a group of the inventory is left out"),
+        }
+    }
+
+    fn load_machine(&mut self, now: Millis, group_ix: GroupIx, member: InventoryMember) {
+        let InventoryMember {
+            name, address, spot, ..
+        } = member;
+        let type_ix = self.topology.type_ix(&member.machine_type);
+        let zone = self.topology.zones.intern(&member.zone);
+        let machine = Machine {
+            known_up_at: address.is_some().then_some(now),
+            address,
+            group: Some(group_ix),
+            written: true,
+            // A start sent under an earlier term may still be on its way.
+            unconfirmed_start_term: self.term.saturating_sub(1),
+            ..Machine::new(&name, type_ix, zone, spot, now)
+        };
+        let ix = self.workers.machines.insert(&name, machine);
+        if let Some(group) = self.fleet.inventory.groups.get_mut(group_ix) {
+            group.members.insert(ix);
         }
     }
 
+    /// Takes over a machine request, to be sent again until it is answered.
     pub fn load_machine_request(&mut self, entry: &Entry) {
-        match serde_json::from_value::<MachineRequestRecord>(entry.value.clone()) {
+        match read_value::<MachineRequestRecord>(entry) {
             Ok(value) => self.fleet.add_machine_request(value, entry.version),
-            Err(error) => tracing::error!(key = entry.key, %error, "a machine_request key can't be read"),
+            Err(error) => tracing::error!(%error, "a machine request is left out"),
         }
     }
 
+    /// Takes over a chunk of a job's tasks: what is done, and what may be running.
     pub fn load_chunk(&mut self, now: Millis, job: &str, number: u32, entry: &Entry) {
-        let Ok(value) = serde_json::from_value::<ChunkValue>(entry.value.clone()) else {
-            tracing::error!(key = entry.key, "a firing key can't be read");
-            return;
-        };
+        if let Err(error) = self.try_load_chunk(now, job, number, entry) {
+            tracing::error!(%error, "a chunk of tasks is left out");
+        }
+    }
+
+    fn try_load_chunk(&mut self, now: Millis, job: &str, number: u32, entry: &Entry) -> Result<(), LoadError> {
+        let value: ChunkValue = read_value(entry)?;
         let Some(job_ix) = self.jobs.table.find(job) else {
-            tracing::error!(key = entry.key, "a firing without a job");
-            return;
+            let key = entry.key.clone();
+            return Err(LoadError::UnknownJob { key });
         };
-        let first = number * self.jobs.chunk_tasks;
-        for (task, attempt, machine_name, agent_epoch) in value.open {
-            let machine_ix = match self.workers.machines.find(&machine_name) {
-                Some(ix) => ix,
-                None => {
-                    // The inventory drops it only after a deletion that the cloud
-                    // confirmed, so nothing of it is left.
-                    continue;
-                }
-            };
-            let Some(job) = self.jobs.table.get_mut(job_ix) else {
-                continue;
-            };
-            let resources = job.shape.resources;
-            let ended = job.ended.is_some();
-            let ix = self.workers.attempts.insert(Attempt {
-                job: job_ix,
-                task,
-                number: attempt,
-                machine: machine_ix,
-                agent_epoch,
-                written: true,
-                writing: false,
-                observed_state: None,
-                // Nobody knows any more; what may have run long is not to be
-                // stopped as if it had just begun.
-                running_since: Some(0),
-                start_sent: None,
-                start_answered: false,
-                stop: ended.then_some(0.0),
-                withdrawn: false,
-            });
-            job.open.insert(task, ix);
-            self.jobs.team_quotas[job.team.usize()].used.add(resources);
-            let (image, gb) = (job.image, job.spec.image_gb);
-            if let Some(machine) = self.workers.machines.get_mut(machine_ix) {
-                machine.used.add(resources);
-                machine.open.push(ix);
-                machine.agent_epoch = machine.agent_epoch.max(agent_epoch);
-                machine.touch(image, gb, f64::MAX);
-                machine.idle_since = now;
-            }
+        for record in &value.open {
+            self.load_attempt(now, job_ix, record);
         }
+        let first_task = number * self.jobs.chunk_tasks;
         if let Some(job) = self.jobs.table.get_mut(job_ix)
             && let Some(chunk) = job.chunks.get_mut(number as usize)
         {
             chunk.version = entry.version;
             chunk.next = value.next;
-            job.done.add_text(first, &value.done);
+            job.done.add_text(first_task, &value.done);
         }
+        Ok(())
+    }
+
+    /// Takes over an attempt that the former leader left open.
+    fn load_attempt(&mut self, now: Millis, job_ix: JobIx, record: &OpenRecord) {
+        let Some(machine_ix) = self.workers.machines.find(&record.machine) else {
+            // The inventory drops a machine only after a deletion that the cloud
+            // confirmed, so nothing of it is left.
+            return;
+        };
+        let Some(job) = self.jobs.table.get_mut(job_ix) else {
+            return;
+        };
+        let attempt = loaded_attempt(job_ix, job, machine_ix, record);
+        let attempt_ix = self.workers.attempts.insert(attempt);
+        job.open.insert(record.task, attempt_ix);
+        let resources = job.shape.resources;
+        if let Some(machine) = self.workers.machines.get_mut(machine_ix) {
+            machine.used.add(resources);
+            machine.open.push(attempt_ix);
+            machine.agent_epoch = machine.agent_epoch.max(record.agent_epoch);
+            machine.touch(job.image, job.spec.image_gb, f64::MAX);
+            machine.idle_since = now;
+        }
+        let team = job.team;
+        self.jobs.quota_mut(team).used.add(resources);
     }
 
     /// After loading: sets going what needs no event to go on.
     pub fn loaded(&mut self) {
-        for ix in self.jobs.table.indices() {
-            let Some(job) = self.jobs.table.get(ix) else {
-                continue;
-            };
+        for (ix, job) in self.jobs.table.iter() {
             if job.ended.is_some() {
                 if job.open.is_empty() {
-                    self.pending_writes.cleanups.insert(ix);
+                    self.pending_writes.queue_clean_up(ix);
                 }
-            } else if job.complete() {
-                self.pending_writes.finished.insert(ix);
+            } else if job.is_complete() {
+                self.pending_writes.queue_finished_job(ix);
             }
         }
     }
 }
+
+/// An attempt as far as its record tells.
+fn loaded_attempt(job_ix: JobIx, job: &Job, machine: MachineIx, record: &OpenRecord) -> Attempt {
+    Attempt {
+        job: job_ix,
+        task: record.task,
+        number: record.attempt,
+        machine,
+        agent_epoch: record.agent_epoch,
+        written: true,
+        writing: false,
+        observed_state: None,
+        // Nobody knows any more; what may have run long is not to be
+        // stopped as if it had just begun.
+        running_since: Some(0),
+        start_sent: None,
+        start_answered: false,
+        stop: job.ended.is_some().then_some(0.0),
+        withdrawn: false,
+    }
+}
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -6,8 +6,9 @@
 mod loading;
 mod machines;
 mod reports;
-mod scheduling;
 mod scaling;
+mod scheduling;
+mod transactions;
 
 use crate::Millis;
 use crate::fleet::Fleet;
@@ -16,7 +17,6 @@
 use crate::placement::Preemptor;
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::store::Keys;
 use crate::topology::Topology;
 use crate::wire::Catalogue;
 use crate::workers::Workers;
@@ -28,7 +28,6 @@
     pub policy: Policy,
     /// The time of day of the step now going on.
     pub wall_clock: Millis,
-    pub machine_request_prefix: String,
     pub topology: Topology,
     pub jobs: Jobs,
     pub workers: Workers,
@@ -46,7 +45,6 @@
             term,
             policy: policy.clone(),
             wall_clock: 0,
-            machine_request_prefix: Keys::new(name).machine_requests(),
             topology: Topology::new(&params.zones),
             jobs: Jobs::new(params),
             workers: Workers::new(settings),
--- a/src/controller/shard/tests.rs
+++ b/src/controller/shard/tests.rs
@@ -2,10 +2,12 @@
 mod attempts;
 mod attribution;
 mod commands;
+mod loading;
 mod reports;
-mod worker_fixture;
-mod scheduling;
 mod scaling;
+mod scheduling;
+mod transactions;
+mod worker_fixture;
 
 use super::*;
 use crate::settings::{Settings, tests::SAMPLE};
--- /dev/null
+++ b/src/controller/shard/tests/loading.rs
@@ -0,0 +1,60 @@
+//! What a new leader makes of the values that the former one wrote.
+
+use super::*;
+use crate::wire::Entry;
+use serde_json::Value;
+
+fn entry(key: &str, value: Value) -> Entry {
+    Entry {
+        key: key.into(),
+        value,
+        version: 8,
+    }
+}
+
+fn shard_with_a_loaded_machine() -> Shard {
+    let mut shard = shard_with(5, &[("small", 8.0)], 4, true);
+    let group = json!({"machines": [["host-1", "small", "north", true, "127.0.0.1:9"]]});
+    shard.load_group(0, "4-0", &entry("kept/pool/roster/4-0", group));
+    shard
+}
+
+#[test]
+fn open_attempts_and_done_tasks_are_taken_over() {
+    let mut shard = shard_with_a_loaded_machine();
+    // The cloud confirmed that the second machine is gone.
+    let chunk = json!({"next": 9, "done": "0-1", "open": [[2, 7, "host-1", 3], [3, 8, "host-2", 1]]});
+    shard.load_chunk(10, "j-1", 0, &entry("kept/pool/firing/j-1/0", chunk));
+    let job = shard.jobs.find("j-1").expect("known");
+    assert_eq!((job.chunks[0].version, job.chunks[0].next), (8, 9));
+    assert_eq!((job.done.len(), job.open.len()), (2, 1));
+    let (_, attempt) = shard.workers.attempts.iter().next().expect("open");
+    assert_eq!((attempt.task, attempt.number, attempt.agent_epoch), (2, 7, 3));
+    assert!(attempt.written && attempt.stop.is_none());
+    let machine = shard.workers.machines.get(attempt.machine).expect("there");
+    assert_eq!(
+        (machine.name.as_str(), machine.agent_epoch, machine.open.len()),
+        ("host-1", 3, 1)
+    );
+    assert_eq!(shard.jobs.team_quotas[0].used.cpus, 4.0);
+    assert_eq!(machine.used.cpus, 4.0);
+}
+
+#[test]
+fn what_can_not_be_read_or_belongs_to_no_job_changes_nothing() {
+    let mut shard = shard_with_a_loaded_machine();
+    let unreadable = json!({"next": 9, "open": [[2, 7, "host-1", 3]]});
+    shard.load_chunk(10, "j-1", 0, &entry("kept/pool/firing/j-1/0", unreadable));
+    let readable = json!({"next": 9, "done": "", "open": [[2, 7, "host-1", 3]]});
+    shard.load_chunk(10, "j-2", 0, &entry("kept/pool/firing/j-2/0", readable));
+    shard.load_machine_request(&entry("kept/pool/hire/r", json!({"request": "r"})));
+    shard.load_group(
+        0,
+        "4-1",
+        &entry("kept/pool/roster/4-1", json!({"machines": [["host-3"]]})),
+    );
+    assert!(shard.workers.attempts.iter().next().is_none());
+    assert_eq!(shard.jobs.find("j-1").expect("known").chunks[0].version, 0);
+    assert!(shard.fleet.machine_requests().is_empty());
+    assert_eq!(shard.workers.machines.len(), 1);
+}
--- /dev/null
+++ b/src/controller/shard/tests/transactions.rs
@@ -0,0 +1,178 @@
+//! The transactions of a whole shard: what goes into them, and what follows from their
+//! outcome.
+
+use super::*;
+use crate::fleet::MachineRequestRecord;
+use crate::ids::AttemptIx;
+use crate::persistence::AnsweredRequest;
+use crate::store::Keys;
+use crate::wire::{Change, Condition, JobState, Transaction};
+use crate::workers::Outcome;
+use std::sync::Arc;
+
+const MAX_CHANGES: usize = 48;
+
+fn keys() -> Keys {
+    Keys::new("pool")
+}
+
+/// A shard with one machine, which is written, and a job whose tasks are all placed.
+fn shard_with_open_tasks(tasks: u32) -> Shard {
+    let mut shard = shard_with(5, &[("large", 64.0)], tasks, true);
+    let machine = shard.add_machine(0, "host-1", "large", "north", true);
+    let machine = shard.workers.machines.get_mut(machine).expect("there");
+    machine.written = true;
+    machine.heard_at = Some(0);
+    machine.report_due = Millis::MAX;
+    shard.fleet.inventory.urgent.clear();
+    shard.place(0);
+    assert_eq!(open(&shard).len(), tasks as usize);
+    shard
+}
+
+fn open(shard: &Shard) -> Vec<AttemptIx> {
+    shard.workers.attempts.iter().map(|(ix, _)| ix).collect()
+}
+
+fn next(shard: &mut Shard, max_changes: usize) -> Option<Arc<Transaction>> {
+    let claim = Condition {
+        key: keys().leader(),
+        version: 1,
+    };
+    shard.next_transaction(10_000, &keys(), claim, max_changes, max_changes)
+}
+
+fn put_keys(transaction: &Transaction) -> Vec<&str> {
+    let changes = transaction.changes.iter();
+    let keys = changes.filter_map(|change| match change {
+        Change::Put { put, .. } => Some(put.as_str()),
+        Change::Delete { .. } => None,
+    });
+    keys.collect()
+}
+
+fn deleted_keys(transaction: &Transaction) -> Vec<&str> {
+    let changes = transaction.changes.iter();
+    let keys = changes.filter_map(|change| match change {
+        Change::Delete { delete } => Some(delete.as_str()),
+        Change::Put { .. } => None,
+    });
+    keys.collect()
+}
+
+#[test]
+fn attempts_may_start_once_their_chunk_is_written() {
+    let mut shard = shard_with_open_tasks(2);
+    assert!(shard.starts_wait());
+    let transaction = next(&mut shard, MAX_CHANGES).expect("due");
+    assert_eq!(put_keys(&transaction), [keys().firing("j-1", 0)]);
+    assert!(next(&mut shard, MAX_CHANGES).is_none(), "one is in flight");
+    assert!(shard.workers.attempts.iter().all(|(_, attempt)| !attempt.written));
+    shard.workers.delivery_due.clear();
+    shard.committed(10_000, &keys(), 7);
+    assert!(shard.workers.attempts.iter().all(|(_, attempt)| attempt.written));
+    assert_eq!(shard.workers.delivery_due.len(), 1);
+    assert!(!shard.starts_wait());
+}
+
+#[test]
+fn what_was_not_applied_is_written_again() {
+    let mut shard = shard_with_open_tasks(2);
+    let first = next(&mut shard, MAX_CHANGES).expect("due");
+    shard.not_applied();
+    assert!(shard.starts_wait());
+    let second = next(&mut shard, MAX_CHANGES).expect("due again");
+    assert_eq!(first, second);
+}
+
+/// A job of three chunks, all of whose tasks are done and written.
+fn finished_shard() -> Shard {
+    let mut shard = shard_with_open_tasks(1);
+    let job = shard.jobs.table.find("j-1").expect("known");
+    let attempt = open(&shard)[0];
+    shard.close(0, attempt, Outcome::Done);
+    let job = shard.jobs.table.get_mut(job).expect("there");
+    let mut chunk = job.chunks[0].clone();
+    for version in [3, 4, 5] {
+        chunk.version = version;
+        job.chunks.push(chunk.clone());
+    }
+    shard
+}
+
+#[test]
+fn a_finished_job_is_written_then_cleaned_up_and_forgotten() {
+    let mut shard = finished_shard();
+    let end = next(&mut shard, MAX_CHANGES).expect("due");
+    assert_eq!(put_keys(&end), [keys().end("j-1"), keys().job("j-1")]);
+    assert!(deleted_keys(&end).is_empty());
+    shard.committed(10_000, &keys(), 9);
+    let job = shard.jobs.table.find("j-1").expect("not cleaned up yet");
+    let job = shard.jobs.table.get(job).expect("there");
+    assert_eq!((job.ended, job.key_version), (Some(JobState::Done), 9));
+    let clean_up = next(&mut shard, MAX_CHANGES).expect("due");
+    let chunks = [1, 2, 3].map(|number| keys().firing("j-1", number));
+    assert_eq!(deleted_keys(&clean_up)[..3], chunks);
+    assert_eq!(deleted_keys(&clean_up)[3..], [keys().job("j-1")]);
+    shard.committed(10_000, &keys(), 10);
+    assert!(shard.jobs.table.is_empty());
+    assert!(next(&mut shard, MAX_CHANGES).is_none());
+}
+
+/// Half of the changes that a transaction may have go to clean-ups.
+#[test]
+fn a_clean_up_goes_on_where_the_last_transaction_left_it() {
+    let mut shard = finished_shard();
+    next(&mut shard, MAX_CHANGES).expect("due");
+    shard.committed(10_000, &keys(), 9);
+    let first = next(&mut shard, 4).expect("due");
+    assert_eq!(deleted_keys(&first), [1, 2].map(|number| keys().firing("j-1", number)));
+    shard.not_applied();
+    assert_eq!(next(&mut shard, 4).expect("due again"), first);
+    shard.committed(10_000, &keys(), 10);
+    let second = next(&mut shard, 4).expect("due");
+    assert_eq!(deleted_keys(&second), [keys().firing("j-1", 3), keys().job("j-1")]);
+    shard.committed(10_000, &keys(), 11);
+    assert!(shard.jobs.table.is_empty());
+}
+
+#[test]
+fn a_machine_request_is_sent_once_it_is_written() {
+    let mut shard = shard_with(5, &[("small", 8.0)], 1, true);
+    let record = MachineRequestRecord {
+        request: "pool-5-0".into(),
+        machine_type: "small".into(),
+        zone: "north".into(),
+        spot: true,
+        count: 2,
+    };
+    shard.pending_writes.queue_machine_request(record.clone());
+    assert!(shard.starts_wait());
+    let transaction = next(&mut shard, MAX_CHANGES).expect("due");
+    assert_eq!(put_keys(&transaction), [keys().machine_request("pool-5-0")]);
+    assert!(shard.fleet.machine_requests().is_empty());
+    shard.committed(10_000, &keys(), 7);
+    let pending = shard.fleet.machine_requests();
+    assert_eq!(pending.len(), 1);
+    assert_eq!((&pending[0].value, pending[0].version), (&record, 7));
+}
+
+#[test]
+fn an_answered_request_goes_after_its_machines_are_written() {
+    let mut shard = shard_with(5, &[("small", 8.0)], 1, true);
+    let machine = shard.add_machine(0, "host-1", "small", "north", true);
+    shard.pending_writes.queue_answered_request(AnsweredRequest {
+        request: "pool-5-0".into(),
+        version: 6,
+    });
+    // No space for the group of the machine.
+    assert!(next(&mut shard, 0).is_none());
+    let both = next(&mut shard, MAX_CHANGES).expect("due");
+    assert_eq!(put_keys(&both), [keys().inventory("5-0")]);
+    assert_eq!(deleted_keys(&both), [keys().machine_request("pool-5-0")]);
+    shard.not_applied();
+    assert_eq!(next(&mut shard, MAX_CHANGES).expect("due again"), both);
+    shard.committed(10_000, &keys(), 7);
+    assert!(shard.workers.machines.get(machine).expect("there").written);
+    assert!(next(&mut shard, MAX_CHANGES).is_none());
+}
--- a/src/fleet/cloud_calls.rs
+++ b/src/fleet/cloud_calls.rs
@@ -50,6 +50,11 @@
 }
 
 impl Fleet {
+    /// The machine requests that are written and not answered for good.
+    pub fn machine_requests(&self) -> &[PendingMachineRequest] {
+        &self.machine_requests
+    }
+
     /// A machine request is in the state service, so the cloud may be asked.
     pub fn add_machine_request(&mut self, value: MachineRequestRecord, version: u64) {
         self.machine_requests.push(PendingMachineRequest {
--- /dev/null
+++ b/src/persistence/in_flight.rs
@@ -0,0 +1,33 @@
+//! The transaction in flight and what it stands for.
+
+use super::AnsweredRequest;
+use super::clean_ups::CleanUp;
+use super::inventory_groups::WrittenGroup;
+use crate::Millis;
+use crate::fleet::MachineRequestRecord;
+use crate::ids::{ChunkId, JobIx};
+use crate::wire::Transaction;
+use std::sync::Arc;
+
+/// A transaction that is sent and not known to be applied or not.
+#[derive(Debug)]
+pub struct InFlight {
+    /// Sent again as it is until it is answered.
+    pub transaction: Arc<Transaction>,
+    /// An earlier copy went unanswered and may have been applied.
+    pub uncertain: bool,
+    /// When it was first sent.
+    pub sent: Millis,
+    pub(super) content: Content,
+}
+
+/// What a transaction writes, by kind of change.
+#[derive(Debug, Default)]
+pub(super) struct Content {
+    pub chunks: Vec<ChunkId>,
+    pub finished_jobs: Vec<JobIx>,
+    pub clean_ups: Vec<CleanUp>,
+    pub groups: Vec<WrittenGroup>,
+    pub machine_requests: Vec<MachineRequestRecord>,
+    pub answered_requests: Vec<AnsweredRequest>,
+}
--- /dev/null
+++ b/src/persistence/outcome.rs
@@ -0,0 +1,52 @@
+//! What became of the transaction in flight.
+
+use super::inventory_groups::{groups_committed, groups_not_applied};
+use super::{PendingWrites, WriteContext, WrittenRequest};
+use crate::ids::{AttemptIx, MachineIx};
+use std::collections::BTreeSet;
+
+/// What a committed transaction calls for elsewhere.
+#[derive(Debug, Default)]
+pub struct Committed {
+    /// Attempts that never started and whose records are gone: to be closed as lost.
+    pub withdrawn_attempts: Vec<AttemptIx>,
+    /// Ended jobs all of whose keys are gone: to be forgotten.
+    pub removed_jobs: Vec<String>,
+    /// Machines that have something new to be told.
+    pub delivery_due: BTreeSet<MachineIx>,
+    /// Machine requests that may now be sent.
+    pub machine_requests: Vec<WrittenRequest>,
+}
+
+impl PendingWrites {
+    /// The transaction in flight was applied at `revision`.
+    pub fn committed(&mut self, mut context: WriteContext, revision: u64) -> Committed {
+        let mut effects = Committed::default();
+        let Some(in_flight) = self.in_flight.take() else {
+            return effects;
+        };
+        let content = in_flight.content;
+        self.chunks_committed(&content.chunks, &mut context, revision, &mut effects);
+        self.finished_jobs_committed(&content.finished_jobs, &mut context, revision);
+        self.clean_ups_committed(&content.clean_ups, &mut context, &mut effects);
+        groups_committed(content.groups, &mut context, revision);
+        effects.machine_requests = WrittenRequest::all(content.machine_requests, revision);
+        effects
+    }
+
+    /// The transaction in flight was surely not applied: everything in it has
+    /// to be considered again.
+    pub fn not_applied(&mut self, mut context: WriteContext) {
+        let Some(in_flight) = self.in_flight.take() else {
+            return;
+        };
+        let content = in_flight.content;
+        self.chunks_not_applied(&content.chunks, &mut context);
+        self.finished.extend(content.finished_jobs);
+        self.cleanups
+            .extend(content.clean_ups.iter().map(|clean_up| clean_up.job));
+        groups_not_applied(&content.groups, &mut context);
+        self.machine_requests.extend(content.machine_requests);
+        self.settled.extend(content.answered_requests);
+    }
+}
--- /dev/null
+++ b/src/persistence/pending_writes.rs
@@ -0,0 +1,110 @@
+//! What is due to be written.
+
+use super::{AnsweredRequest, InFlight};
+use crate::fleet::MachineRequestRecord;
+use crate::ids::{ChunkId, JobIx};
+use std::collections::{BTreeSet, VecDeque};
+
+/// All that is to be written but for the inventory, whose groups know themselves
+/// whether they are, and the transaction in flight.
+#[derive(Debug, Default)]
+pub struct PendingWrites {
+    /// Chunks with attempts that start once they are written.
+    pub(crate) starts: BTreeSet<ChunkId>,
+    /// Chunks in which something else has changed.
+    pub(crate) chunks: BTreeSet<ChunkId>,
+    /// Jobs whose last task is done.
+    pub(crate) finished: BTreeSet<JobIx>,
+    /// Ended jobs none of whose attempts is open: their keys can go.
+    pub(crate) cleanups: BTreeSet<JobIx>,
+    /// Machine requests that are sent once they are written.
+    pub(crate) machine_requests: VecDeque<MachineRequestRecord>,
+    /// Machine requests whose keys can go.
+    pub(crate) settled: VecDeque<AnsweredRequest>,
+    /// The transaction in flight, if there is one.
+    pub(crate) in_flight: Option<InFlight>,
+}
+
+impl PendingWrites {
+    /// A chunk has an attempt that starts once it is written.
+    pub fn queue_start(&mut self, chunk: ChunkId) {
+        self.starts.insert(chunk);
+    }
+
+    /// A chunk has changed in a way that nothing waits for.
+    pub fn queue_chunk(&mut self, chunk: ChunkId) {
+        self.chunks.insert(chunk);
+    }
+
+    /// The last task of a job is done.
+    pub fn queue_finished_job(&mut self, job: JobIx) {
+        self.finished.insert(job);
+    }
+
+    /// A job has ended and none of its attempts is open: its keys can go.
+    pub fn queue_clean_up(&mut self, job: JobIx) {
+        self.cleanups.insert(job);
+    }
+
+    /// Machines are to be asked for once the request is written.
+    pub fn queue_machine_request(&mut self, request: MachineRequestRecord) {
+        self.machine_requests.push_back(request);
+    }
+
+    /// The cloud answered a machine request: its key can go.
+    pub fn queue_answered_request(&mut self, request: AnsweredRequest) {
+        self.settled.push_back(request);
+    }
+
+    /// The machine requests that are not in a transaction yet.
+    pub fn machine_requests(&self) -> impl Iterator<Item = &MachineRequestRecord> {
+        self.machine_requests.iter()
+    }
+
+    /// Whether a chunk is due to be written, urgently or not.
+    pub fn is_chunk_queued(&self, chunk: ChunkId) -> bool {
+        self.starts.contains(&chunk) || self.chunks.contains(&chunk)
+    }
+
+    /// Whether the keys of a job are due to be removed.
+    pub fn is_clean_up_queued(&self, job: JobIx) -> bool {
+        self.cleanups.contains(&job)
+    }
+
+    /// Whether work or users wait for something to be written.
+    pub fn is_urgent(&self) -> bool {
+        !(self.starts.is_empty() && self.finished.is_empty() && self.machine_requests.is_empty())
+    }
+
+    /// Whether a transaction is in flight.
+    pub fn is_in_flight(&self) -> bool {
+        self.in_flight.is_some()
+    }
+
+    /// The transaction in flight.
+    pub fn in_flight(&self) -> Option<&InFlight> {
+        self.in_flight.as_ref()
+    }
+
+    /// The transaction in flight, to be sent again.
+    pub fn in_flight_mut(&mut self) -> Option<&mut InFlight> {
+        self.in_flight.as_mut()
+    }
+
+    /// Nothing of this job is left to write. Its index may be given to another.
+    pub fn forget_job(&mut self, job: JobIx) {
+        self.starts.retain(|chunk| chunk.job != job);
+        self.chunks.retain(|chunk| chunk.job != job);
+        self.finished.remove(&job);
+        self.cleanups.remove(&job);
+    }
+
+    /// A chunk goes into the transaction that is built now, or need not be written.
+    pub(super) fn unqueue_chunk(&mut self, chunk: ChunkId) {
+        self.starts.remove(&chunk);
+        self.chunks.remove(&chunk);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/pipeline/chunk.rs
@@ -0,0 +1,141 @@
+//! A chunk of a job's tasks, which share one key of the state service.
+
+use crate::Millis;
+use serde::{Deserialize, Serialize, Serializer};
+
+/// What a chunk's value takes of the size that the service allows; the rest is left
+/// for names that are longer than usual.
+const VALUE_SHARE: f64 = 0.8;
+/// Bytes of one open attempt in a chunk's value.
+const OPEN_RECORD_BYTES: f64 = 52.0;
+const FEWEST_TASKS: u32 = 8;
+const MOST_TASKS: u32 = 240;
+
+/// How many tasks a chunk holds, so that its value stays within the size limit of the
+/// service while all of them are open.
+pub fn chunk_tasks(value_kb: f64) -> u32 {
+    let tasks = value_kb * 1024.0 * VALUE_SHARE / OPEN_RECORD_BYTES;
+    (tasks as u32).clamp(FEWEST_TASKS, MOST_TASKS)
+}
+
+/// The fields of an [`OpenRecord`] in the order in which they are stored.
+type StoredRecord = (u32, u64, String, u64);
+
+/// An open attempt in a chunk's value; stored as an array.
+#[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
+#[serde(from = "StoredRecord")]
+pub struct OpenRecord {
+    /// The number of the task within its job.
+    pub task: u32,
+    /// The attempt number.
+    pub attempt: u64,
+    /// The name of the machine that it was placed on.
+    pub machine: String,
+    /// The epoch of the worker agent that it was placed with.
+    pub agent_epoch: u64,
+}
+
+impl From<StoredRecord> for OpenRecord {
+    fn from((task, attempt, machine, agent_epoch): StoredRecord) -> OpenRecord {
+        OpenRecord {
+            task,
+            attempt,
+            machine,
+            agent_epoch,
+        }
+    }
+}
+
+/// By hand, since `serde(into)` would copy every name of a machine.
+impl Serialize for OpenRecord {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (self.task, self.attempt, &self.machine, self.agent_epoch).serialize(serializer)
+    }
+}
+
+/// The value of a chunk's key.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct ChunkValue {
+    /// The next attempt number. Numbers rise within a chunk and are never reused.
+    pub next: u64,
+    /// The tasks that are done, as [`TaskSet::text`](super::TaskSet::text) writes them.
+    pub done: String,
+    /// The attempts that are not proven over.
+    pub open: Vec<OpenRecord>,
+}
+
+/// What the leader knows of a chunk's key.
+#[derive(Clone, Debug)]
+pub struct Chunk {
+    /// The version of its key; 0 while there is none.
+    pub version: u64,
+    /// The next attempt number.
+    pub next: u64,
+    /// Changed since its last write was built.
+    pub dirty: bool,
+    /// In the transaction now in flight.
+    pub writing: bool,
+    /// When its last write was built.
+    pub drafted_at: Millis,
+}
+
+impl Chunk {
+    /// A chunk of which nothing has been written yet.
+    pub fn new() -> Chunk {
+        Chunk {
+            version: 0,
+            next: 1,
+            dirty: false,
+            writing: false,
+            drafted_at: 0,
+        }
+    }
+
+    /// Whether its key says all that the leader knows of it.
+    pub fn is_written(&self) -> bool {
+        !self.dirty && !self.writing
+    }
+
+    /// The former name of [`Chunk::is_written`], until its callers use that.
+    pub fn written(&self) -> bool {
+        self.is_written()
+    }
+
+    /// Something changed that its key does not say.
+    pub fn mark_changed(&mut self) {
+        self.dirty = true;
+    }
+
+    /// Its value goes into the transaction that is built now.
+    pub fn write_started(&mut self, now: Millis) {
+        self.dirty = false;
+        self.writing = true;
+        self.drafted_at = now;
+    }
+
+    /// The transaction with its value was applied.
+    pub fn write_committed(&mut self, version: u64) {
+        self.version = version;
+        self.writing = false;
+    }
+
+    /// The transaction with its value was not applied.
+    pub fn write_failed(&mut self) {
+        self.writing = false;
+        self.dirty = true;
+    }
+
+    /// Its changes need not be written: another key says all there is to say.
+    pub fn discard_changes(&mut self) {
+        self.dirty = false;
+    }
+}
+
+impl Default for Chunk {
+    fn default() -> Chunk {
+        Chunk::new()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/pipeline/chunk/tests.rs
@@ -0,0 +1,44 @@
+use super::*;
+
+#[test]
+fn an_open_record_is_stored_as_an_array() {
+    let record = OpenRecord {
+        task: 7,
+        attempt: 3,
+        machine: "host-1".into(),
+        agent_epoch: 9,
+    };
+    let text = serde_json::to_string(&record).expect("written");
+    assert_eq!(text, r#"[7,3,"host-1",9]"#);
+    assert_eq!(serde_json::from_str::<OpenRecord>(&text).expect("read"), record);
+}
+
+#[test]
+fn an_open_record_is_not_read_from_an_object() {
+    let text = r#"{"task":7,"attempt":3,"machine":"host-1","agent_epoch":9}"#;
+    assert!(serde_json::from_str::<OpenRecord>(text).is_err());
+}
+
+#[test]
+fn a_chunk_that_changed_while_in_flight_is_not_written_once_committed() {
+    let mut chunk = Chunk::new();
+    chunk.mark_changed();
+    chunk.write_started(10);
+    chunk.mark_changed();
+    chunk.write_committed(4);
+    assert!(!chunk.is_written());
+    chunk.write_started(20);
+    assert!(!chunk.is_written());
+    chunk.write_committed(5);
+    assert!(chunk.is_written());
+    assert_eq!(chunk.version, 5);
+}
+
+#[test]
+fn a_chunk_whose_write_failed_is_still_to_be_written() {
+    let mut chunk = Chunk::new();
+    chunk.write_started(10);
+    chunk.write_failed();
+    assert!(!chunk.is_written());
+    assert_eq!(chunk.version, 0);
+}
--- a/src/pipeline/jobs.rs
+++ b/src/pipeline/jobs.rs
@@ -1,24 +1,29 @@
 //! The jobs of the shard, and what they are counted and judged by.
 
+use super::job_builder::{JobBuilder, JobError};
 use super::{Job, TeamQuota, chunk_tasks};
 use crate::Millis;
-use crate::ids::{ClassIx, ImageIx, JobIx, Names, Table, TeamIx};
+use crate::ids::{ClassIx, ImageIx, Index, JobIx, Names, Table, TeamIx};
 use crate::resources::Resources;
 use crate::settings::{Objective, Params};
+use crate::store::JobKey;
+use crate::topology::Topology;
 use std::collections::BTreeMap;
 
 /// The jobs that have not been cleaned up yet, with the teams that own them.
 #[derive(Debug)]
 pub struct Jobs {
+    /// The jobs by their ids.
     pub table: Table<JobIx, Job>,
-    pub team_names: Names<TeamIx>,
-    pub images: Names<ImageIx>,
-    pub classes: Names<ClassIx>,
+    team_names: Names<TeamIx>,
+    images: Names<ImageIx>,
+    classes: Names<ClassIx>,
+    /// What each team is guaranteed, may use and uses.
     pub team_quotas: Vec<TeamQuota>,
     /// In which time jobs of a class should be complete.
-    pub due: BTreeMap<String, Millis>,
+    due: BTreeMap<String, Millis>,
     /// In which time their tasks should be started.
-    pub start_within: BTreeMap<String, Millis>,
+    start_within: BTreeMap<String, Millis>,
     /// Tasks that are kept under one key.
     pub chunk_tasks: u32,
     /// Jobs whose keys were seen to be gone.
@@ -50,6 +55,40 @@
             deleted_jobs: Vec::new(),
         }
     }
+
+    /// The job of this id.
+    pub fn find(&self, id: &str) -> Option<&Job> {
+        self.table.find(id).and_then(|ix| self.table.get(ix))
+    }
+
+    /// Adds a job that appeared, as its key has it.
+    pub fn add(&mut self, id: &str, key: &JobKey, version: u64, topology: &mut Topology) -> Result<JobIx, JobError> {
+        let mut builder = JobBuilder {
+            teams: &self.team_names,
+            topology,
+            images: &mut self.images,
+            classes: &mut self.classes,
+            due: &self.due,
+            start_within: &self.start_within,
+        };
+        let job = builder.build(key, version, self.chunk_tasks)?;
+        Ok(self.table.insert(id, job))
+    }
+
+    /// The quota of a team.
+    pub fn quota_mut(&mut self, team: TeamIx) -> &mut TeamQuota {
+        &mut self.team_quotas[team.usize()]
+    }
+
+    /// The key of this job was seen to be gone.
+    pub fn note_deleted(&mut self, id: String) {
+        self.deleted_jobs.push(id);
+    }
+
+    /// Takes the jobs whose keys were seen to be gone.
+    pub fn take_deleted(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.deleted_jobs)
+    }
 }
 
 /// For each class, the shortest time that an objective of this kind asks for.
--- a/src/pipeline/quota.rs
+++ b/src/pipeline/quota.rs
@@ -2,17 +2,27 @@
 
 use crate::resources::Resources;
 
+/// Sums of fractions of a CPU may exceed a limit by this much through rounding.
+const ROUNDING: f64 = 1e-6;
+
+/// The share of the shard's machines that a team has.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TeamQuota {
+    /// What the team gets before others get more than they are guaranteed.
     pub guarantee: Resources,
-    /// 0: no limit.
+    /// What the team may use at most; 0 for no limit.
     pub limit: Resources,
+    /// What the team's open attempts take.
     pub used: Resources,
 }
 
 impl TeamQuota {
+    /// Whether the team's limit leaves room for this need. Memory is not limited.
     pub fn allows(&self, need: Resources) -> bool {
-        let within = |used: f64, need: f64, limit: f64| limit <= 0.0 || used + need <= limit + 1e-6;
-        within(self.used.cpus, need.cpus, self.limit.cpus) && within(self.used.gpus, need.gpus, self.limit.gpus)
+        allows(self.used.cpus, need.cpus, self.limit.cpus) && allows(self.used.gpus, need.gpus, self.limit.gpus)
     }
 }
+
+fn allows(used: f64, need: f64, limit: f64) -> bool {
+    limit <= 0.0 || used + need <= limit + ROUNDING
+}
--- a/src/pipeline/taskset.rs
+++ b/src/pipeline/task_set.rs
@@ -1,3 +1,5 @@
+//! Sets of the tasks of one job.
+
 use std::ops::Range;
 
 /// A set of task numbers: a bitmap in memory, ranges (`0-4,7`) in the store.
@@ -9,6 +11,7 @@
 }
 
 impl TaskSet {
+    /// An empty set of tasks below `limit`.
     pub fn new(limit: u32) -> TaskSet {
         TaskSet {
             words: vec![0; limit.div_ceil(64) as usize],
@@ -17,14 +20,17 @@
         }
     }
 
+    /// How many tasks are in the set.
     pub fn len(&self) -> u32 {
         self.len
     }
 
+    /// Whether no task is in the set.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
+    /// Whether the task is in the set.
     pub fn contains(&self, task: u32) -> bool {
         task < self.limit && self.words[(task / 64) as usize] >> (task % 64) & 1 == 1
     }
@@ -50,27 +56,33 @@
                 last += 1;
                 tasks.next();
             }
-            parts.push(if first == last {
-                format!("{}", first - base)
-            } else {
-                format!("{}-{}", first - base, last - base)
-            });
+            parts.push(range_text(first - base, last - base));
         }
         parts.join(",")
     }
 
-    /// Adds what [`TaskSet::text`] wrote; text of another make adds nothing.
+    /// Adds what [`TaskSet::text`] wrote; parts of any other form add nothing.
     pub fn add_text(&mut self, base: u32, text: &str) {
-        for part in text.split(',').filter(|part| !part.is_empty()) {
-            let (first, last) = part.split_once('-').unwrap_or((part, part));
-            if let (Ok(first), Ok(last)) = (first.parse::<u32>(), last.parse::<u32>()) {
-                for task in first..=last.min(self.limit) {
-                    self.insert(base.saturating_add(task));
-                }
+        for (first, last) in text.split(',').filter_map(parse_range) {
+            for task in first..=last.min(self.limit) {
+                self.insert(base.saturating_add(task));
             }
         }
     }
 }
 
+fn range_text(first: u32, last: u32) -> String {
+    if first == last {
+        first.to_string()
+    } else {
+        format!("{first}-{last}")
+    }
+}
+
+fn parse_range(text: &str) -> Option<(u32, u32)> {
+    let (first, last) = text.split_once('-').unwrap_or((text, text));
+    Some((first.parse().ok()?, last.parse().ok()?))
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::ids::JobIx;
-use crate::pipeline::{JobBuilder, Jobs};
+use crate::pipeline::Jobs;
 use crate::settings::{Settings, tests::SAMPLE};
 use crate::store::JobKey;
 use crate::wire::{Catalogue, MachineType};
@@ -92,17 +92,7 @@
         accepted_ms: 0,
         ended: None,
     };
-    let mut builder = JobBuilder {
-        teams: &jobs.team_names,
-        types: &mut topology.types,
-        zones: &mut topology.zones,
-        images: &mut jobs.images,
-        classes: &mut jobs.classes,
-        due: &jobs.due,
-        start_within: &jobs.start_within,
-    };
-    let job = builder.admit(&key, 1, jobs.chunk_tasks).expect("a known team");
-    jobs.table.insert("j-1", job)
+    jobs.add("j-1", &key, 1, topology).expect("a known team")
 }
 
 /// Algorithm 1 as the plain scan of all machines states it.
