--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -2,6 +2,7 @@
 //! image cached.
 
 use super::Cluster;
+use super::image_state::ImageState;
 use super::machine_view::{MachineView, Ranking, RoomForTask};
 use super::zones::zones_open_to;
 use crate::Millis;
@@ -52,7 +53,7 @@
         }
         return Choice::NoRoom;
     };
-    if best.image_cached || !best.cache_holder_full {
+    if best.image == ImageState::Cached || !best.cache_holder_full {
         return Choice::Start { slot: best.slot };
     }
     let until = waits_until(cluster, job, view.type_at(best.slot));
--- a/src/placement/machine_view/image_caches.rs
+++ b/src/placement/machine_view/image_caches.rs
@@ -3,6 +3,7 @@
 use super::slot::Slot;
 use crate::ids::ImageIx;
 use crate::pipeline::Job;
+use crate::placement::image_state::ImageState;
 use crate::resources::Shape;
 use crate::workers::Workers;
 use std::collections::BTreeMap;
@@ -11,8 +12,8 @@
 /// are fetching them.
 #[derive(Debug, Default)]
 pub struct ImageCaches {
-    /// For each image, whether each slot's machine has it.
-    holders: BTreeMap<ImageIx, Vec<bool>>,
+    /// For each image, its state on each slot's machine.
+    states: BTreeMap<ImageIx, Vec<ImageState>>,
     /// For each image, shapes for which every holder is too full. Until another
     /// machine fetches the image this only grows.
     too_large_for_holders: BTreeMap<ImageIx, Vec<Shape>>,
@@ -21,28 +22,30 @@
 impl ImageCaches {
     /// Looks up which slots have an image, once a round.
     pub fn look_up(&mut self, image: ImageIx, slots: &[Slot], workers: &Workers) {
-        self.holders.entry(image).or_insert_with(|| {
+        self.states.entry(image).or_insert_with(|| {
             let machines = slots.iter().map(|slot| workers.machines.get(slot.machine));
             machines
-                .map(|machine| machine.is_some_and(|machine| machine.holds(image)))
+                .map(|machine| machine.map_or(ImageState::Missing, |machine| ImageState::new(machine, image)))
                 .collect()
         });
     }
 
-    /// For each slot, whether its machine has the image. Empty before it is looked up.
-    pub fn holders(&self, image: ImageIx) -> &[bool] {
-        self.holders.get(&image).map_or(&[][..], Vec::as_slice)
+    /// The state of the image in each slot. Empty before it is looked up.
+    pub fn states(&self, image: ImageIx) -> &[ImageState] {
+        self.states.get(&image).map_or(&[][..], Vec::as_slice)
     }
 
-    /// Whether the machine of this slot has the image, as far as was looked up.
-    pub fn has(&self, image: ImageIx, slot: usize) -> bool {
-        self.holders.get(&image).is_some_and(|holders| holders[slot])
+    /// The state of the image in this slot, as far as it was looked up.
+    pub fn state(&self, image: ImageIx, slot: usize) -> ImageState {
+        self.states
+            .get(&image)
+            .map_or(ImageState::Missing, |states| states[slot])
     }
 
     /// The machine of this slot fetches the image from now on.
     pub fn add(&mut self, image: ImageIx, slot: usize) {
-        if let Some(holders) = self.holders.get_mut(&image)
-            && !std::mem::replace(&mut holders[slot], true)
+        if let Some(states) = self.states.get_mut(&image)
+            && std::mem::replace(&mut states[slot], ImageState::Cached) == ImageState::Missing
         {
             self.too_large_for_holders.remove(&image);
         }
--- a/src/placement/machine_view/mod.rs
+++ b/src/placement/machine_view/mod.rs
@@ -7,6 +7,7 @@
 
 pub use ranking::{Best, Ranking};
 
+use super::image_state::ImageState;
 use super::unplaceable_shapes::UnplaceableShapes;
 use crate::Millis;
 use crate::ids::{ImageIx, Index, MachineIx, TypeIx, ZoneIx};
@@ -53,7 +54,7 @@
 struct OpenSlot<'a> {
     index: usize,
     slot: &'a Slot,
-    image_cached: bool,
+    image: ImageState,
 }
 
 impl MachineView {
@@ -78,14 +79,10 @@
 
     /// The slots that the job may use, in the order of their indices.
     fn open_to<'a>(&'a self, job: &'a Job, zones: &'a Option<Vec<ZoneIx>>) -> impl Iterator<Item = OpenSlot<'a>> {
-        let holders = self.image_caches.holders(job.image);
-        let slots = self.slots.iter().zip(holders).enumerate();
+        let image_states = self.image_caches.states(job.image);
+        let slots = self.slots.iter().zip(image_states).enumerate();
         slots
-            .map(|(index, (slot, &image_cached))| OpenSlot {
-                index,
-                slot,
-                image_cached,
-            })
+            .map(|(index, (slot, &image))| OpenSlot { index, slot, image })
             .filter(|OpenSlot { slot, .. }| {
                 slot.is_allowed_by(&job.shape)
                     && zones.as_ref().is_none_or(|zones| zones.contains(&slot.zone))
@@ -107,10 +104,10 @@
         }
         let (mut first_slot, mut cache_holder_full) = (None, false);
         for open in self.open_to(job, zones) {
-            match (open.slot.has_room(job.shape.resources), open.image_cached) {
-                (true, true) => return RoomForTask::WithImageCached,
-                (true, false) => first_slot = first_slot.or(Some(open.index)),
-                (false, image_cached) => cache_holder_full |= image_cached,
+            match (open.slot.has_room(job.shape.resources), open.image) {
+                (true, ImageState::Cached) => return RoomForTask::WithImageCached,
+                (true, ImageState::Missing) => first_slot = first_slot.or(Some(open.index)),
+                (false, image) => cache_holder_full |= image == ImageState::Cached,
             }
         }
         if cache_holder_full && !is_particular {
@@ -130,9 +127,9 @@
         let mut cache_holder_full = false;
         for open in self.open_to(job, zones) {
             if open.slot.has_room(job.shape.resources) {
-                scores.push(Score::new(open.index, open.slot, open.image_cached));
+                scores.push(Score::new(open.index, open.slot, open.image));
             } else {
-                cache_holder_full |= open.image_cached;
+                cache_holder_full |= open.image == ImageState::Cached;
             }
         }
         Ranking::new(scores, job.shape.resources, cache_holder_full)
@@ -142,15 +139,15 @@
     pub fn best(&self, ranking: &mut Ranking, image: ImageIx) -> Option<Best> {
         loop {
             let slot = ranking.best_slot()?;
-            let image_cached = self.image_caches.has(image, slot);
+            let image = self.image_caches.state(image, slot);
             if self.slots[slot].has_room(ranking.resources) {
                 return Some(Best {
                     slot,
-                    image_cached,
+                    image,
                     cache_holder_full: ranking.cache_holder_full,
                 });
             }
-            ranking.drop_full(image_cached);
+            ranking.drop_full(image);
         }
     }
 
--- a/src/placement/machine_view/ranking.rs
+++ b/src/placement/machine_view/ranking.rs
@@ -1,6 +1,7 @@
 //! The order in which slots suit a job, by Algorithm 1.
 
 use super::slot::Slot;
+use crate::placement::image_state::ImageState;
 use crate::resources::Resources;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -10,7 +11,7 @@
 /// are returned. Among equals the first slot wins.
 #[derive(Clone, Copy, Debug)]
 pub struct Score {
-    image_cached: bool,
+    image: ImageState,
     spot: bool,
     type_cpus: f64,
     free_cpus: f64,
@@ -19,9 +20,9 @@
 
 impl Score {
     /// The score of the slot at this index of the view.
-    pub fn new(slot_index: usize, slot: &Slot, image_cached: bool) -> Score {
+    pub fn new(slot_index: usize, slot: &Slot, image: ImageState) -> Score {
         Score {
-            image_cached,
+            image,
             spot: slot.spot,
             type_cpus: slot.type_cpus,
             free_cpus: slot.free.cpus,
@@ -32,7 +33,7 @@
 
 impl Ord for Score {
     fn cmp(&self, other: &Score) -> Ordering {
-        let kind = (self.image_cached, self.spot).cmp(&(other.image_cached, other.spot));
+        let kind = (self.image, self.spot).cmp(&(other.image, other.spot));
         let smaller = other.type_cpus.total_cmp(&self.type_cpus);
         let fuller = other.free_cpus.total_cmp(&self.free_cpus);
         let first = self.slot_index.cmp(&other.slot_index);
@@ -97,9 +98,9 @@
         self.scores.peek().map(|score| score.slot_index.0)
     }
 
-    /// Drops the best slot, which is full by now. `image_cached`: by its machine.
-    pub fn drop_full(&mut self, image_cached: bool) {
-        self.cache_holder_full |= image_cached;
+    /// Drops the best slot, which is full by now.
+    pub fn drop_full(&mut self, image: ImageState) {
+        self.cache_holder_full |= image == ImageState::Cached;
         self.scores.pop();
     }
 }
@@ -109,8 +110,8 @@
 pub struct Best {
     /// Index of the slot in the view.
     pub slot: usize,
-    /// Whether its machine has the image cached or is fetching it.
-    pub image_cached: bool,
+    /// Whether its machine has the image.
+    pub image: ImageState,
     /// Whether a machine that the job may use has its image cached and no room.
     pub cache_holder_full: bool,
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -7,6 +7,7 @@
 
 mod choice;
 mod context;
+mod image_state;
 mod machine_view;
 mod opening;
 mod order;
--- a/src/placement/preemption/demand.rs
+++ b/src/placement/preemption/demand.rs
@@ -3,16 +3,10 @@
 use super::candidates::Candidate;
 use crate::ids::{AttemptIx, ImageIx, MachineIx, ZoneIx};
 use crate::pipeline::Job;
+use crate::placement::image_state::ImageState;
 use crate::resources::Shape;
 use crate::wire::Priority;
 
-/// Whether a machine has the image of a demand.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ImageState {
-    Cached,
-    Missing,
-}
-
 /// Like tasks of one job that need room.
 #[derive(Debug)]
 pub struct Demand {
--- a/src/placement/preemption/victims/tests.rs
+++ b/src/placement/preemption/victims/tests.rs
@@ -1,6 +1,7 @@
 use super::super::candidates::Victim;
 use super::*;
 use crate::ids::{ImageIx, MachineIx, TypeIx, ZoneIx};
+use crate::placement::image_state::ImageState;
 use crate::resources::{Resources, Shape};
 use proptest::prelude::*;
 
@@ -18,8 +19,12 @@
     prop_oneof![Just(Priority::Low), Just(Priority::Standard), Just(Priority::High)]
 }
 
+fn image_state() -> impl Strategy<Value = ImageState> {
+    prop_oneof![Just(ImageState::Missing), Just(ImageState::Cached)]
+}
+
 /// A machine with so many free CPUs and these tasks: CPUs, priority, loss.
-fn machine(free: u32, holds: bool, victims: &[(u32, Priority, u32)]) -> Candidate {
+fn machine(free: u32, image: ImageState, victims: &[(u32, Priority, u32)]) -> Candidate {
     let victim = |&(cpus, priority, loss): &(u32, Priority, u32)| Victim {
         attempt: AttemptIx(0),
         priority,
@@ -31,7 +36,11 @@
         type_ix: TypeIx(0),
         zone: ZoneIx(0),
         spot: true,
-        images: if holds { vec![IMAGE] } else { Vec::new() },
+        images: if image == ImageState::Cached {
+            vec![IMAGE]
+        } else {
+            Vec::new()
+        },
         free: resources(free),
         victims: victims.iter().map(victim).collect(),
     }
@@ -39,8 +48,8 @@
 
 fn candidate() -> impl Strategy<Value = Candidate> {
     let victim = (1u32..9, priority(), 0u32..40);
-    (0u32..9, any::<bool>(), proptest::collection::vec(victim, 0..6))
-        .prop_map(|(free, holds, victims)| machine(free, holds, &victims))
+    (0u32..9, image_state(), proptest::collection::vec(victim, 0..6))
+        .prop_map(|(free, image, victims)| machine(free, image, &victims))
 }
 
 fn candidates() -> impl Strategy<Value = Vec<Candidate>> {
@@ -141,7 +150,12 @@
 #[test]
 fn nothing_is_stopped_where_room_is_already_coming() {
     let task = (8, Priority::Low, 1);
-    let machines = || vec![machine(0, true, &[task, task]), machine(8, true, &[task])];
+    let machines = || {
+        vec![
+            machine(0, ImageState::Cached, &[task, task]),
+            machine(8, ImageState::Cached, &[task]),
+        ]
+    };
     assert_eq!(
         choose_victims(machines(), vec![demand(8, 1)], 10),
         Vec::<AttemptIx>::new()
