--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// This job is gone: its failures speak against no machine any more.
+    /// This job is gone: its failures count against no machine any more.
     pub fn clear_machines_of(&mut self, job: JobIx) {
         self.workers.clear_failures_of(job);
     }
@@ -87,7 +87,7 @@
             };
             attempt.stop = Some(0.0);
             let machine = attempt.machine;
-            if attempt.is_known_here_only() {
+            if attempt.is_only_planned() {
                 self.close(now, attempt_ix, Outcome::Lost);
             } else {
                 self.workers.delivery_due.insert(machine);
--- a/src/controller/shard/reports.rs
+++ b/src/controller/shard/reports.rs
@@ -10,8 +10,8 @@
 impl Shard {
     /// Merges a report, whether it came by itself or answered direct commands.
     pub fn merge_report(&mut self, now: Millis, report: &Report, path: ReportPath) -> Merged {
-        if let Some(refused) = self.workers.refuse_report(report, self.term) {
-            return refused;
+        if let Some(rejected) = self.workers.reject_report(report, self.term) {
+            return rejected;
         }
         let ix = match self.workers.machines.find(&report.machine) {
             Some(ix) => ix,
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -19,8 +19,8 @@
 }
 
 impl Workers {
-    /// Looks at the open attempts that a report does not list. Whether one of them
-    /// should be listed, because a start left in the answer before.
+    /// Looks at the open attempts that a report does not list. Returns whether one of
+    /// them should be there, since the answer to the report before told to start it.
     pub(super) fn observe_missing(
         &mut self,
         ix: MachineIx,
@@ -29,15 +29,15 @@
         jobs: &Jobs,
         merged: &mut MergedReport,
     ) -> bool {
-        let mut misses_start = false;
+        let mut lacks_start = false;
         let Some(machine) = self.machines.get(ix) else {
-            return misses_start;
+            return lacks_start;
         };
         for &attempt_ix in machine.open.iter().filter(|&open| !listed.contains(open)) {
             let Some(attempt) = self.attempts.get_mut(attempt_ix) else {
                 continue;
             };
-            misses_start |= attempt.start_answered && attempt.agent_epoch == received.report.agent_epoch;
+            lacks_start |= attempt.start_answered && attempt.agent_epoch == received.report.agent_epoch;
             match attempt.observe_missing(machine, received) {
                 Absence::ProvesNothing => {}
                 Absence::EpochGone => merged.end(attempt_ix, Outcome::Lost),
@@ -45,7 +45,7 @@
                 Absence::NeedsHigherTerm => self.needs_higher_term = true,
             }
         }
-        misses_start
+        lacks_start
     }
 }
 
@@ -59,7 +59,7 @@
         if !unwanted || !self.is_answered_start_dead(received.now) {
             return Absence::ProvesNothing;
         }
-        if !machine.may_get_direct_start(received.report.fencing_token) {
+        if !machine.may_receive_direct_start(received.report.fencing_token) {
             Absence::NeverStarts
         } else if machine.unconfirmed_start_term >= received.term {
             // Starts of earlier terms are withdrawn already, once the worker
@@ -89,7 +89,7 @@
 
 impl Machine {
     /// A start sent directly may still arrive at a worker that holds this fencing token.
-    fn may_get_direct_start(&self, fencing_token: u64) -> bool {
+    fn may_receive_direct_start(&self, fencing_token: u64) -> bool {
         let unconfirmed = self.unconfirmed_start_term > 0 && self.unconfirmed_start_term >= fencing_token;
         unconfirmed || self.delivery.has_starts_in_flight()
     }
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -76,9 +76,28 @@
 }
 
 impl Attempt {
-    /// Nobody else has heard of it: its firing is neither written nor in the
-    /// transaction in flight, so it can be dropped at once.
-    pub fn is_known_here_only(&self) -> bool {
+    /// An attempt that this leader has planned, and that nobody else knows of yet.
+    pub fn new(job: JobIx, task: u32, number: u64, machine: MachineIx, agent_epoch: u64) -> Attempt {
+        Attempt {
+            job,
+            task,
+            number,
+            machine,
+            agent_epoch,
+            written: false,
+            writing: false,
+            observed_state: None,
+            running_since: None,
+            start_sent: None,
+            start_answered: false,
+            stop: None,
+            withdrawn: false,
+        }
+    }
+
+    /// Its firing is neither written nor in the transaction in flight: nobody else
+    /// knows of it, and it can be dropped at once.
+    pub fn is_only_planned(&self) -> bool {
         !self.written && !self.writing
     }
 
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -55,8 +55,8 @@
                 machine.expects_effect |= attempt.start_answered;
             }
         }
-        // One that seems not to be reached is asked directly as well: where nothing
-        // is expected of it, no report could ever clear it.
+        // A machine whose last answers seem to be lost is sent a direct command as well:
+        // where no effect is expected, no report could ever clear the suspicion.
         if machine.missed_answers == 0 {
             self.delivery_due.remove(&ix);
         }
--- a/src/workers/drain.rs
+++ b/src/workers/drain.rs
@@ -38,8 +38,8 @@
 }
 
 impl Attempt {
-    /// With how much time to save it should be stopped now, if its machine goes in
-    /// `left_s` seconds. `None`: it finishes before, or can run on for a while.
+    /// The time to save with which it should be stopped now, if its machine goes in
+    /// `left_s` seconds. `None`: it finishes before, or need not be stopped yet.
     fn grace_before_reclaim(&self, now: Millis, spec: &JobSpec, left_s: f64) -> Option<f64> {
         let finishes = spec.estimate_s - self.ran_s(now) < left_s;
         let saves = spec.checkpoint_s > 0.0 && self.observed_state == Some(TaskState::Running);
@@ -51,3 +51,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -83,9 +83,9 @@
     /// Since when it has had no open attempt, if it has none.
     pub idle_since: Millis,
     /// Jobs whose tasks failed here since the last success.
-    pub failing: Vec<JobIx>,
-    /// Failures since then of jobs that got on elsewhere.
-    pub failures: u32,
+    pub failing_jobs: Vec<JobIx>,
+    /// Failures since then of jobs that succeeded elsewhere.
+    pub proven_failures: u32,
     /// Until then it gets no new tasks.
     pub cordoned_until: Millis,
 }
@@ -124,14 +124,14 @@
             unmatched_tasks: Vec::new(),
             used: Resources::default(),
             idle_since: now,
-            failing: Vec::new(),
-            failures: 0,
+            failing_jobs: Vec::new(),
+            proven_failures: 0,
             cordoned_until: 0,
         }
     }
 
     /// May be given new tasks: the inventory names it (a successor must know of
-    /// it), it was heard by this leader, and nothing speaks against it.
+    /// it), it was heard by this leader, and no fault of it is known.
     pub fn usable(&self, now: Millis) -> bool {
         self.written
             && self.heard_at.is_some()
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Takes an address. The inventory group to be written again, if that changes
-    /// what its key should say.
+    /// Sets the address. Returns the inventory group to be written again, if its key
+    /// has another one.
     pub(super) fn set_address(&mut self, address: &str) -> Option<GroupIx> {
         if self.address.as_deref() == Some(address) {
             return None;
@@ -167,8 +167,8 @@
         self.group
     }
 
-    /// Takes what the cloud's list says of it. The inventory group to be written
-    /// again, if the list told its address.
+    /// Takes what the cloud's list says of it. Returns the inventory group to be
+    /// written again, if the list told an address that was not known.
     pub(super) fn note_listed(&mut self, now: Millis, listed: &ListedMachine) -> Option<GroupIx> {
         self.cloud_listing.named();
         if self.heard_at.is_none() {
@@ -196,7 +196,7 @@
         }
     }
 
-    /// What the end of an attempt says of the machine; a failure is attributed by
+    /// Takes what the end of an attempt says of the machine; a failure is attributed by
     /// [`super::Workers::note_failure`].
     pub fn note_outcome(&mut self, now: Millis, outcome: Outcome) {
         match outcome {
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -16,8 +16,8 @@
 pub(crate) const MANY_ENDED: usize = 40;
 
 impl Workers {
-    /// Why a report is not merged at all, if so.
-    pub fn refuse_report(&self, report: &Report, term: u64) -> Option<Merged> {
+    /// Why a report is rejected before anything is learned from it; `None` if it is not.
+    pub fn reject_report(&self, report: &Report, term: u64) -> Option<Merged> {
         if report.fencing_token > term {
             return Some(Merged::Outranked);
         }
@@ -25,7 +25,7 @@
             .then_some(Merged::MachineDeleted)
     }
 
-    /// Merges a report of a known machine that was not refused.
+    /// Merges a report of a known machine that was not rejected.
     pub fn merge_report(&mut self, ix: MachineIx, received: ReceivedReport, jobs: &Jobs) -> MergedReport {
         let Some(machine) = self.machines.get_mut(ix) else {
             return MergedReport::new(Merged::MachineDeleted);
@@ -37,8 +37,8 @@
         merged.group_to_rewrite = machine.set_address(&received.report.address);
         self.note_machine(ix, received);
         let listed = self.match_tasks(ix, received, jobs, &mut merged);
-        let misses_start = self.observe_missing(ix, received, &listed, jobs, &mut merged);
-        let shows_no_effect = misses_start || received.report.fencing_token < received.term;
+        let lacks_start = self.observe_missing(ix, received, &listed, jobs, &mut merged);
+        let shows_no_effect = lacks_start || received.report.fencing_token < received.term;
         self.count_missed_answers(ix, received.path, shows_no_effect);
         self.limit_ended_tasks(ix, received.term);
         merged
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Finds the attempts that a report's tasks stand for, and takes their states.
-    /// Those that it lists.
+    /// Finds the open attempt that each task of a report belongs to, and takes its
+    /// state. Returns the attempts that were found.
     fn match_tasks(
         &mut self,
         ix: MachineIx,
@@ -98,7 +98,7 @@
         listed
     }
 
-    /// Counts reports in a row that show that answers don't reach the worker.
+    /// Counts the reports in a row that show that answers do not reach the worker.
     fn count_missed_answers(&mut self, ix: MachineIx, path: ReportPath, shows_no_effect: bool) {
         let Some(machine) = self.machines.get_mut(ix) else {
             return;
@@ -162,8 +162,8 @@
 }
 
 impl Attempts {
-    /// The open attempt of a machine that a task in its report stands for. One that
-    /// the same report has already proven over is not open any more.
+    /// The open attempt that a task in its machine's report belongs to. One that the
+    /// same report has already proven over is not open any more.
     fn find_listed(
         &self,
         machine: &Machine,
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -63,7 +63,8 @@
         self.tombstones.contains_key(name)
     }
 
-    /// A machine is deleted: what was known of it. Its index may be given to another.
+    /// A machine is deleted. Returns what was known of it; its index may be given to
+    /// another.
     pub fn remove_machine(&mut self, now: Millis, name: &str) -> Option<Machine> {
         let ix = self.machines.find(name)?;
         self.delivery_due.remove(&ix);
@@ -76,8 +77,8 @@
         self.tombstones.retain(|_, &mut at| now < at + TOMBSTONE_MS);
     }
 
-    /// The cloud's list names a known machine. The inventory group whose key lacks the
-    /// address that the list told.
+    /// The cloud's list names a known machine. Returns the inventory group whose key
+    /// lacks the address that the list told, if there is one.
     pub fn note_listed(&mut self, now: Millis, ix: MachineIx, listed: &ListedMachine) -> Option<GroupIx> {
         let machine = self.machines.get_mut(ix)?;
         if listed.state == MachineState::Running && machine.heard_at.is_none() {
