--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -258,3 +258,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -67,7 +67,7 @@
     assert_eq!(given_up(&shard).len(), 5);
 }
 
-/// Guards against ordinary machines that come when the work is done: 359 small
+/// Guards against on-demand machines that come when the work is done: 359 small
 /// ones stood idle for a minute at the start of the fleet's days.
 #[test]
 fn tasks_whose_aim_is_longer_than_a_boot_follow_on_machines_that_others_leave() {
@@ -110,9 +110,9 @@
     assert!(shard.workers.machines.iter().all(|(_, machine)| machine.decommissioned));
 }
 
-/// Guards against ordinary machines for work that runs in what the others leave.
+/// Guards against on-demand machines for work that runs in what the others leave.
 #[test]
-fn best_effort_work_rents_no_ordinary_machines_unless_only_they_will_do() {
+fn best_effort_work_buys_no_on_demand_machines_unless_only_they_will_do() {
     for spot in [true, false] {
         let mut shard = shard_with(1, &[("small", 8.0)], 20, spot);
         let job = shard.jobs.table.find("j-1").expect("known");
--- a/src/fleet/inventory/tests.rs
+++ b/src/fleet/inventory/tests.rs
@@ -31,3 +31,34 @@
         }
     }
 }
+
+#[test]
+fn a_group_is_due_until_its_write_starts_and_again_when_it_fails() {
+    let mut inventory = Inventory::new(1.0);
+    let group = inventory.add(3, MachineIx(0));
+    assert!(inventory.has_urgent());
+    assert_eq!(inventory.due(DueGroups::Urgent), [group].into());
+    inventory.write_started(group);
+    assert!(inventory.due(DueGroups::All).is_empty());
+    inventory.write_again([group]);
+    assert_eq!(inventory.due(DueGroups::Urgent), [group].into());
+    inventory.write_started(group);
+    inventory.written(group, 7);
+    assert_eq!(inventory.groups.get(group).expect("there").version, 7);
+    // Nothing waits for an address.
+    inventory.address_changed(Some(group));
+    assert!(!inventory.has_urgent());
+    assert_eq!(inventory.due(DueGroups::All), [group].into());
+}
+
+#[test]
+fn a_group_whose_key_is_deleted_goes_unless_machines_joined_it() {
+    let mut inventory = Inventory::new(1.0);
+    let group = inventory.load("2-0", 5);
+    inventory.add_member(group, MachineIx(0));
+    inventory.deleted(group);
+    assert_eq!(inventory.groups.get(group).expect("there").version, 0);
+    inventory.remove(group, MachineIx(0));
+    inventory.deleted(group);
+    assert!(inventory.groups.get(group).is_none());
+}
--- a/src/fleet/planned.rs
+++ b/src/fleet/planned.rs
@@ -54,7 +54,7 @@
 
 impl Fleet {
     /// The machines there are and those asked for. Small and busy ones come
-    /// first and so are filled first, idle and dear ones last.
+    /// first and so are filled first, idle and on-demand ones last.
     pub(crate) fn planned_machines(&self, context: &FleetContext) -> Vec<PlannedMachine> {
         let mut planned = Vec::with_capacity(context.workers.machines.len());
         for (ix, machine) in context.workers.machines.iter() {
