--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -1,20 +1,17 @@
 //! The leader's claim: taken, renewed, raised to a new term, checked and given up.
 
 use super::store_calls::RETRY_MS;
-use super::{Controller, Loading, Purpose, Shard};
+use super::{Controller, LoadStage, Purpose, Shard};
 use crate::Millis;
 use crate::controller::SHARD;
 use crate::election::Phase;
 use crate::ids::MachineIx;
 use crate::store::{StoreReply, StoreRequest};
-use crate::wire::Transaction;
+use crate::wire::{Change, Transaction};
 use std::sync::Arc;
 
-/// Raising the term costs a fresh start, so not more often than this.
-const RAISE_TERM_EVERY_MS: Millis = 8_000;
-/// A leader that hears nobody, no controller and no worker, for this long
-/// gives the shard up for another to take.
-const ISOLATED_MS: Millis = 4_000;
+/// Pause before the next claim after one that may yet have succeeded.
+const CLAIM_RETRY_MS: Millis = 500;
 
 impl Controller {
     pub(super) fn leader_changed(&mut self) {
@@ -30,15 +27,19 @@
     pub(super) fn step_down(&mut self, claim_delay: Millis) {
         self.election.step_down(self.now, claim_delay);
         self.shard = None;
-        self.reload_wanted = false;
-        self.raising_term = false;
+        self.term_raise.cancel();
+        self.forget_term();
+    }
+
+    /// Nothing of the term that ends counts: what was in flight under it is void, and
+    /// what it did is read back.
+    fn forget_term(&mut self) {
         self.cloud.forget();
-        self.deliveries.clear();
-        self.calls.retain(|_, (purpose, _)| !is_of_one_term(purpose));
-        self.queue.retain(|queued| !is_of_one_term(&queued.purpose));
+        self.command_delivery.forget();
+        self.store_client.forget_term();
     }
 
-    pub(super) fn granted(&mut self, reply: StoreReply) {
+    pub(super) fn on_lease_granted(&mut self, reply: StoreReply) {
         if self.election.phase() != Phase::RequestingLease {
             return;
         }
@@ -50,11 +51,11 @@
                     None => self.step_down(0),
                 }
             }
-            _ => self.election.step_down(self.now, 500),
+            _ => self.election.step_down(self.now, CLAIM_RETRY_MS),
         }
     }
 
-    pub(super) fn claim_answered(&mut self, transaction: Arc<Transaction>, sent: Millis, reply: StoreReply) {
+    pub(super) fn on_claim_reply(&mut self, transaction: Arc<Transaction>, sent: Millis, reply: StoreReply) {
         if self.election.phase() != Phase::Claiming {
             return;
         }
@@ -70,42 +71,37 @@
                 self.enqueue_after(RETRY_MS, purpose, StoreRequest::Transact(transaction));
             }
             StoreReply::Conflict { .. } => self.enqueue(Purpose::CheckClaim, StoreRequest::Get(self.keys.leader())),
-            _ => self.step_down(500),
+            _ => self.step_down(CLAIM_RETRY_MS),
         }
     }
 
-    pub(super) fn claimed(&mut self, version: u64) {
+    fn claimed(&mut self, version: u64) {
         self.election.claimed(version);
-        self.claimed_at = self.now;
-        self.term_raised_at = self.now;
-        if self.raising_term && !self.reload_wanted {
+        self.leader_timers.claimed(self.now);
+        let is_known_valid = self.term_raise.claimed(self.now);
+        if is_known_valid {
             self.term_raised();
-            return;
+        } else {
+            self.start_loading();
         }
-        self.raising_term = false;
-        self.reload_wanted = false;
-        self.loading_since = self.now;
-        self.load_heard_at = self.now;
-        self.worker_heard_at = self.now;
-        // Nothing of the former term counts: what was in flight under it is
-        // void, and what it did is read back.
-        self.calls.retain(|_, (purpose, _)| !is_of_one_term(purpose));
-        self.queue.retain(|queued| !is_of_one_term(&queued.purpose));
-        self.cloud.forget();
-        self.deliveries.clear();
+    }
+
+    fn start_loading(&mut self) {
+        self.load_progress.start(self.now);
+        self.leader_timers.worker_heard(self.now);
+        self.forget_term();
         let mut shard = Shard::new(SHARD, self.election.term(), &self.settings, &self.policy);
         if let Some(catalogue) = &self.catalogue {
             shard.set_catalogue(catalogue);
         }
         self.shard = Some(shard);
-        self.load(Loading::Machines, String::new());
+        self.load_page(LoadStage::Machines, String::new());
     }
 
     /// The term rose over the own claim, with nothing of the old one in flight to
     /// the state service: what is known still holds, and only the workers have
     /// to see the new fencing token.
-    pub(super) fn term_raised(&mut self) {
-        self.raising_term = false;
+    fn term_raised(&mut self) {
         self.election.activate();
         let Some(shard) = &mut self.shard else {
             return;
@@ -118,15 +114,15 @@
             .filter(|(_, machine)| machine.unconfirmed_start_term > 0);
         let unconfirmed: Vec<MachineIx> = unconfirmed.map(|(ix, _)| ix).collect();
         shard.workers.delivery_due.extend(unconfirmed);
-        self.place_wanted = true;
+        self.placement_rounds.request();
     }
 
-    pub(super) fn renew_answered(&mut self, sent: Millis, reply: StoreReply) {
+    pub(super) fn on_renew_reply(&mut self, sent: Millis, reply: StoreReply) {
         match reply {
             StoreReply::Renewed => {
                 self.election.renewed(self.now, sent);
                 if self.election.is_suspended() {
-                    self.sync(0);
+                    self.refresh_watch_cache();
                 }
             }
             StoreReply::LeaseGone if self.election.holds_claim() => {
@@ -156,7 +152,7 @@
         }
     }
 
-    pub(super) fn claim_checked(&mut self, reply: StoreReply) {
+    pub(super) fn on_claim_checked(&mut self, reply: StoreReply) {
         if self.election.phase() != Phase::Claiming {
             return;
         }
@@ -170,7 +166,7 @@
                 }
             }
             StoreReply::Missing => self.step_down(0),
-            _ => self.step_down(500),
+            _ => self.step_down(CLAIM_RETRY_MS),
         }
     }
 
@@ -188,11 +184,28 @@
         lost
     }
 
+    /// Whether no other controller and no worker was heard for long.
     pub(super) fn is_isolated(&self) -> bool {
-        !self.peers.is_alone()
-            && self.now > self.claimed_at + ISOLATED_MS
-            && self.now > self.peers.last_heard_at() + ISOLATED_MS
-            && self.now > self.worker_heard_at + ISOLATED_MS
+        !self.peers.is_alone() && self.leader_timers.is_isolated(self.now, self.peers.last_heard_at())
+    }
+
+    /// Removes the own claim, for another controller to take the shard.
+    pub(super) fn resign(&mut self, claim_delay: Millis) {
+        let transaction = Transaction {
+            conditions: vec![self.election.condition(&self.keys)],
+            changes: vec![Change::delete(self.keys.leader())],
+        };
+        self.step_down(claim_delay);
+        self.enqueue(Purpose::Resign, StoreRequest::Transact(transaction.into()));
+    }
+
+    fn send_claim(&mut self, transaction: Transaction) {
+        let transaction = Arc::new(transaction);
+        let purpose = Purpose::Claim {
+            transaction: transaction.clone(),
+            sent: self.now,
+        };
+        self.enqueue(purpose, StoreRequest::Transact(transaction));
     }
 
     /// Starts a new term over the own claim where one is called for.
@@ -200,14 +213,15 @@
         let Some(shard) = &mut self.shard else {
             return false;
         };
-        let wanted = self.reload_wanted || shard.workers.needs_higher_term;
-        // Claiming gives up what the others promised, and can't succeed in an outage.
-        if !wanted || !self.election.is_lease_valid(self.now) || self.now < self.term_raised_at + RAISE_TERM_EVERY_MS {
+        let wants_reload = self.term_raise.wants_reload();
+        let is_wanted = wants_reload || shard.workers.needs_higher_term;
+        // Claiming gives up the lease extension, and can't succeed in an outage.
+        if !is_wanted || !self.election.is_lease_valid(self.now) || !self.term_raise.is_allowed(self.now) {
             return false;
         }
         // What is in flight depends on the claim as it is.
-        self.raising_term = true;
-        if !self.reload_wanted && shard.pending_writes.in_flight.is_some() {
+        self.term_raise.begin();
+        if !wants_reload && shard.pending_writes.in_flight.is_some() {
             return false;
         }
         shard.workers.needs_higher_term = false;
@@ -217,16 +231,3 @@
         true
     }
 }
-
-/// Whether requests of this kind mean something only within one term.
-fn is_of_one_term(purpose: &Purpose) -> bool {
-    matches!(
-        purpose,
-        Purpose::Load(_)
-            | Purpose::Commit
-            | Purpose::CheckCommit(_)
-            | Purpose::CheckClaim
-            | Purpose::Renew { .. }
-            | Purpose::Claim { .. }
-    )
-}
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -137,7 +137,7 @@
     }
 
     /// Acts on the reply to a call, or schedules the call again.
-    pub(super) fn cloud_reply(&mut self, call: u64, reply: CloudReply) {
+    pub(super) fn on_cloud_reply(&mut self, call: u64, reply: CloudReply) {
         let Some(purpose) = self.cloud.in_flight.remove(&call) else {
             return;
         };
@@ -227,7 +227,7 @@
         };
         shard.fleet.deletion.finish(self.now);
         shard.machines_gone(self.now, machines);
-        self.place_wanted = true;
+        self.placement_rounds.request();
     }
 
     /// One page of the list; the next one follows at once.
--- a/src/controller/cloud/tests.rs
+++ b/src/controller/cloud/tests.rs
@@ -1,6 +1,5 @@
 use super::super::shard_with;
 use super::*;
-use crate::election::Phase;
 use crate::policy::Policy;
 use crate::settings::{Settings, tests::SAMPLE};
 use crate::wire::{ListedMachine, MachineState};
@@ -15,7 +14,7 @@
     shard.add_machine(0, "host-1", "small", "north", true);
     controller.now = START;
     controller.shard = Some(shard);
-    controller.election.phase = Phase::Active;
+    controller.election.activate();
     controller.cloud.catalogue_due = START + CATALOGUE_EVERY_MS;
     controller
 }
@@ -63,18 +62,21 @@
     };
     shard.fleet.add_machine_request(record, 9);
     let (call, first) = only(requests(&mut controller));
-    controller.cloud_reply(call, CloudReply::Unanswered);
+    controller.on_cloud_reply(call, CloudReply::Unanswered);
     controller.now += RETRY_MS - 1;
     assert!(requests(&mut controller).is_empty());
     controller.now += 1;
     let (call, second) = only(requests(&mut controller));
     assert_eq!(first, second);
     let machines = vec!["host-2".to_owned()];
-    controller.cloud_reply(call, CloudReply::Provisioned(MachineNames { machines }));
+    controller.on_cloud_reply(call, CloudReply::Provisioned(MachineNames { machines }));
     let shard = controller.shard.as_ref().expect("leads");
     assert!(shard.workers.machines.find("host-2").is_some());
-    let settled = shard.pending_writes.settled.iter().cloned().collect::<Vec<_>>();
-    assert_eq!(settled, [("pool-3-0".to_owned(), 9)]);
+    let answered = shard.pending_writes.answered_requests();
+    let answered: Vec<_> = answered
+        .map(|answered| (answered.request.as_str(), answered.version))
+        .collect();
+    assert_eq!(answered, [("pool-3-0", 9)]);
     controller.now += RETRY_MS;
     assert!(requests(&mut controller).is_empty());
 }
@@ -88,11 +90,11 @@
     shard.workers.machines.get_mut(ix).expect("there").decommissioned = true;
     let (call, _) = only(requests(&mut controller));
     assert!(requests(&mut controller).is_empty());
-    controller.cloud_reply(call, CloudReply::Unavailable);
+    controller.on_cloud_reply(call, CloudReply::Unavailable);
     assert!(requests(&mut controller).is_empty());
     controller.now += RETRY_MS;
     let (call, _) = only(requests(&mut controller));
-    controller.cloud_reply(call, CloudReply::Deleted);
+    controller.on_cloud_reply(call, CloudReply::Deleted);
     let shard = controller.shard.as_ref().expect("leads");
     assert!(shard.workers.machines.is_empty());
 }
@@ -110,10 +112,10 @@
         machines: vec![listed("host-2")],
         more: true,
     };
-    controller.cloud_reply(call, CloudReply::Listed(page));
+    controller.on_cloud_reply(call, CloudReply::Listed(page));
     let (call, after) = list_after(requests(&mut controller));
     assert_eq!(after, "host-2");
-    controller.cloud_reply(call, CloudReply::Unanswered);
+    controller.on_cloud_reply(call, CloudReply::Unanswered);
     assert!(requests(&mut controller).is_empty());
     controller.now += LIST_EVERY_MS;
     let (_, after) = list_after(requests(&mut controller));
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -10,23 +10,19 @@
 
 use super::store_calls::RETRY_MS;
 use super::{Controller, Purpose};
-use crate::Millis;
 use crate::store::{StoreReply, StoreRequest};
 use evidence::Verdict;
 
-/// How often what nobody waits for is written.
-const COMMIT_INTERVAL_MS: Millis = 150;
-
 impl Controller {
     /// Writes what is due in one transaction, if none is in flight.
     pub(super) fn commit(&mut self) {
         if !self.may_commit() {
             return;
         }
-        self.committed_at = self.now;
+        self.leader_timers.commit_attempted(self.now);
         let claim = self.election.condition(&self.keys);
         let max_changes = self.settings.params.state.txn_ops as usize;
-        let spare_changes = (self.writes.level(self.now) as usize).max(1);
+        let spare_changes = self.store_client.write_allowance(self.now).max(1);
         let Some(shard) = &mut self.shard else {
             return;
         };
@@ -41,9 +37,9 @@
     fn may_commit(&mut self) -> bool {
         let shard = self.shard.as_ref();
         let is_urgent = shard.is_some_and(|shard| shard.starts_wait());
-        let is_due = is_urgent || self.now >= self.committed_at + COMMIT_INTERVAL_MS;
+        let is_due = is_urgent || self.leader_timers.is_commit_due(self.now);
         let is_in_flight = shard.is_some_and(|shard| shard.pending_writes.is_in_flight());
-        is_due && !is_in_flight && !self.raising_term && self.writes.ready(self.now) && self.requests.ready(self.now)
+        is_due && !is_in_flight && !self.term_raise.is_pending() && self.store_client.may_commit(self.now)
     }
 
     /// The state service answered the transaction in flight, or did not in time.
@@ -58,7 +54,7 @@
             StoreReply::Unavailable => self.retry_commit(),
             other => {
                 tracing::error!(?other, "a transaction was refused");
-                self.reload_wanted = true;
+                self.term_raise.request_reload();
             }
         }
     }
@@ -68,7 +64,7 @@
             return;
         };
         shard.committed(self.now, &self.keys, revision);
-        self.place_wanted = true;
+        self.placement_rounds.request();
     }
 
     /// The last copy may have been applied, or may yet be.
@@ -145,7 +141,7 @@
         if let Some(shard) = &mut self.shard {
             shard.not_applied();
         }
-        self.sync(0);
+        self.refresh_watch_cache();
     }
 
     /// What is written is not what was thought: all of it is read again under a new term.
@@ -154,8 +150,7 @@
         if let Some(shard) = &mut self.shard {
             shard.not_applied();
         }
-        self.reload_wanted = true;
-        self.term_raised_at = 0;
+        self.term_raise.request_reload_now();
     }
 }
 
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -1,5 +1,6 @@
 use super::super::{Output, shard_with};
 use super::*;
+use crate::Millis;
 use crate::policy::Policy;
 use crate::settings::{Settings, tests::SAMPLE};
 use crate::wire::{Change, JobState, Transaction};
@@ -47,7 +48,7 @@
 }
 
 fn step(controller: &mut Controller, call: u64, reply: StoreReply) {
-    controller.store_reply(call, reply);
+    controller.on_store_reply(call, reply);
 }
 
 /// The second copy conflicts on that key; gives the call of the look at it.
@@ -92,7 +93,7 @@
     let value = firing_in_flight(&controller);
     let look = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
     step(&mut controller, look, StoreReply::Found { value, version: 12 });
-    assert!(!in_flight(&controller) && !controller.reload_wanted);
+    assert!(!in_flight(&controller) && !controller.term_raise.wants_reload());
     assert_eq!(chunk_version(&controller), 12);
     let shard = controller.shard.as_ref().expect("leads");
     assert!(shard.workers.attempts.iter().all(|(_, attempt)| attempt.written));
@@ -103,7 +104,7 @@
     let (mut controller, second) = leader_with_an_unanswered_firing();
     let look = conflict(&mut controller, second, "live/pool/job/j-1");
     step(&mut controller, look, StoreReply::Missing);
-    assert!(!in_flight(&controller) && !controller.reload_wanted);
+    assert!(!in_flight(&controller) && !controller.term_raise.wants_reload());
     let shard = controller.shard.as_ref().expect("leads");
     assert!(shard.starts_wait());
     assert!(shard.workers.attempts.iter().all(|(_, attempt)| !attempt.written));
@@ -115,7 +116,7 @@
     let look = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
     let value = serde_json::json!({"next": 9, "done": "", "open": []});
     step(&mut controller, look, StoreReply::Found { value, version: 12 });
-    assert!(controller.reload_wanted);
+    assert!(controller.term_raise.wants_reload());
 }
 
 #[test]
@@ -128,7 +129,7 @@
     controller.send_queued();
     let again = sent(&std::mem::take(&mut controller.outputs), false);
     step(&mut controller, again, StoreReply::Missing);
-    assert!(!in_flight(&controller) && !controller.reload_wanted);
+    assert!(!in_flight(&controller) && !controller.term_raise.wants_reload());
 }
 
 /// A cancelled job's key is changed by others, so it is no evidence.
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -1,6 +1,7 @@
 //! Commands that the leader sends straight to workers, mostly through the peer that a
 //! worker reports to, and what came of them.
 
+use super::command_delivery::DirectCall;
 use super::{Controller, Output, SHARD, Shard, WorkerReply};
 use crate::Millis;
 use crate::ids::MachineIx;
@@ -9,19 +10,8 @@
 use crate::workers::ReportPath;
 use std::collections::BTreeMap;
 
-/// Longer than any call to a worker takes.
-const DELIVERY_TIMEOUT_MS: Millis = 5_000;
-/// Commands that come up close together go out together.
-const DELIVERY_INTERVAL_MS: Millis = 50;
-
-/// Direct commands to a machine, under a term.
-#[derive(Clone, Debug)]
-pub struct DirectCall {
-    /// By name: the index may be another machine's by the time of the reply.
-    name: String,
-    term: u64,
-    sent: Millis,
-}
+/// Pause before a machine is asked again after commands that failed.
+const RETRY_MS: Millis = 2_000;
 
 /// Commands that a machine is due.
 struct Due {
@@ -37,43 +27,30 @@
     /// Direct commands in flight at once: half of what all other controllers would
     /// hold, so that one of them has room for more than its part.
     fn max_deliveries(&self) -> usize {
-        self.connections.in_flight * self.peers.all_in_reach(self.now).len().div_ceil(2).max(1)
+        self.connections.in_flight * self.peers.count_in_reach(self.now).div_ceil(2).max(1)
     }
 
     /// Sends what machines are due, if it is time.
     pub(super) fn deliver_commands(&mut self) {
-        if self.now < self.delivered_at + DELIVERY_INTERVAL_MS {
+        if !self.command_delivery.take_due(self.now) {
             return;
         }
-        self.delivered_at = self.now;
-        let available = self.max_deliveries().saturating_sub(self.deliveries.len());
+        let available = self.command_delivery.available(self.max_deliveries());
         let Some(shard) = &mut self.shard else {
             return;
         };
-        let due = shard.due_commands(self.now, available);
+        let all_due = shard.due_commands(self.now, available);
         let mut by_peer: BTreeMap<String, Vec<AddressedCommands>> = BTreeMap::new();
-        for due in due {
-            let call = self.call();
-            let (address, peer) = (due.address, self.path_to(due.relayed_by));
-            let commands = DirectCommands {
-                fencing_token: self.election.term(),
-                agent_epoch: due.agent_epoch,
-                commands: due.commands,
-            };
-            let direct_call = DirectCall {
-                name: due.name,
-                term: self.election.term(),
-                sent: self.now,
-            };
-            self.deliveries.insert(call, direct_call);
+        for due in all_due {
+            let peer = self.peer_to_deliver(due.relayed_by.as_deref());
+            let AddressedCommands { id, address, commands } = self.start_delivery(due);
             match peer {
-                Some(node) => by_peer.entry(node).or_default().push(AddressedCommands {
-                    id: call,
-                    address,
-                    commands,
-                }),
+                Some(node) => by_peer
+                    .entry(node)
+                    .or_default()
+                    .push(AddressedCommands { id, address, commands }),
                 None => self.outputs.push(Output::Worker {
-                    call,
+                    call: id,
                     address,
                     commands,
                 }),
@@ -86,53 +63,58 @@
         }
     }
 
+    /// Notes the commands as in flight, under a call of their own.
+    fn start_delivery(&mut self, due: Due) -> AddressedCommands {
+        let term = self.election.term();
+        let direct_call = DirectCall {
+            machine: due.name,
+            term,
+            sent_at: self.now,
+        };
+        let call = self.call();
+        self.command_delivery.sent(call, direct_call);
+        AddressedCommands {
+            id: call,
+            address: due.address,
+            commands: DirectCommands {
+                fencing_token: term,
+                agent_epoch: due.agent_epoch,
+                commands: due.commands,
+            },
+        }
+    }
+
     /// The peer to hand commands to: the one that the worker reports to, or any.
-    fn path_to(&mut self, relayed_by: Option<String>) -> Option<String> {
-        relayed_by
-            .filter(|node| self.peers.is_in_reach(self.now, node))
-            .or_else(|| self.next_peer())
+    fn peer_to_deliver(&mut self, relayed_by: Option<&str>) -> Option<String> {
+        match relayed_by {
+            Some(node) if self.peers.is_in_reach(self.now, node) => Some(node.to_owned()),
+            _ => self.peers.next_in_reach(self.now),
+        }
     }
 
     /// What a peer holds for too long counts as lost: it may still arrive.
     pub(super) fn expire_deliveries(&mut self) {
-        let now = self.now;
-        let late = self
-            .deliveries
-            .iter()
-            .filter(|(_, push)| now > push.sent + DELIVERY_TIMEOUT_MS);
-        for call in late.map(|(&call, _)| call).collect::<Vec<_>>() {
-            self.worker_reply(call, WorkerReply::Unanswered);
+        for call in self.command_delivery.expired(self.now) {
+            self.on_delivery_reply(call, WorkerReply::Unanswered);
         }
     }
 
-    pub(super) fn worker_reply(&mut self, call: u64, reply: WorkerReply) {
-        let Some(DirectCall { name, term, .. }) = self.deliveries.remove(&call) else {
+    /// A worker's answer to direct commands, our own or those held for a leader.
+    pub(super) fn on_worker_reply(&mut self, call: u64, reply: WorkerReply) {
+        if let Some(reply) = self.delegated_commands.replied(call, reply) {
+            self.on_delivery_reply(call, reply);
+        }
+    }
+
+    /// A worker's answer to our own direct commands.
+    pub(super) fn on_delivery_reply(&mut self, call: u64, reply: WorkerReply) {
+        let Some(direct_call) = self.command_delivery.take(call) else {
             return;
         };
-        let now = self.now;
         let Some(shard) = &mut self.shard else {
             return;
         };
-        let known = shard.workers.machines.find(&name);
-        if let Some(machine) = known.and_then(|ix| shard.workers.machines.get_mut(ix)) {
-            machine.delivery.in_flight = false;
-            match &reply {
-                WorkerReply::Unanswered if machine.delivery.has_starts => {
-                    machine.unconfirmed_start_term = machine.unconfirmed_start_term.max(term)
-                }
-                _ => {}
-            }
-            if matches!(reply, WorkerReply::Unanswered | WorkerReply::NotDelivered) {
-                machine.delivery.not_before = now + 2_000;
-                // Asked once more: it may be the way there that failed. After
-                // that it will report or fall silent, so there is no hurry.
-                let again = !std::mem::replace(&mut machine.has_unanswered_command, true);
-                if again || machine.heard_at.is_none() {
-                    machine.relayed_by = None;
-                    shard.workers.delivery_due.extend(known);
-                }
-            }
-        }
+        shard.delivery_ended(self.now, &direct_call, &reply);
         if let WorkerReply::Executed(report) | WorkerReply::Refused(report) = reply {
             self.merge_worker_report(&report, ReportPath::CommandReply);
         }
@@ -140,6 +122,30 @@
 }
 
 impl Shard {
+    /// What the reply to direct commands says of the machine, beside its report.
+    fn delivery_ended(&mut self, now: Millis, direct_call: &DirectCall, reply: &WorkerReply) {
+        let Some(ix) = self.workers.machines.find(&direct_call.machine) else {
+            return;
+        };
+        let Some(machine) = self.workers.machines.get_mut(ix) else {
+            return;
+        };
+        machine.delivery.in_flight = false;
+        if *reply == WorkerReply::Unanswered && machine.delivery.has_starts {
+            machine.unconfirmed_start_term = machine.unconfirmed_start_term.max(direct_call.term);
+        }
+        if matches!(reply, WorkerReply::Unanswered | WorkerReply::NotDelivered) {
+            machine.delivery.not_before = now + RETRY_MS;
+            // Asked once more: it may be the way there that failed. After
+            // that it will report or fall silent, so there is no hurry.
+            let is_first_failure = !std::mem::replace(&mut machine.has_unanswered_command, true);
+            if is_first_failure || machine.heard_at.is_none() {
+                machine.relayed_by = None;
+                self.workers.delivery_due.insert(ix);
+            }
+        }
+    }
+
     /// Commands for at most so many machines, those with open attempts first: they
     /// hold up work, the others can wait.
     fn due_commands(&mut self, now: Millis, mut max_machines: usize) -> Vec<Due> {
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -1,29 +1,23 @@
 //! What the leader does with every input: maintenance, placement, and the reports of
 //! workers. Its claim, take-over, transactions and commands have modules of their own.
 
-use super::{Controller, Purpose, SHARD};
+use super::{Controller, SHARD, Shard};
 use crate::Millis;
 use crate::peers::{JobTaskCounts, Message};
-use crate::store::StoreRequest;
-use crate::wire::{Change, Report, ReportAnswer, Transaction};
+use crate::wire::{Report, ReportAnswer};
 use crate::workers::{Merged, ReportPath};
 
-const PLACE_EVERY_MS: Millis = 25;
-const PLACE_ANYWAY_MS: Millis = 400;
-/// How often all machines are looked over for what time alone has changed.
-const MAINTENANCE_EVERY_MS: Millis = 200;
-const COUNTS_EVERY_MS: Millis = 1_000;
 /// Jobs whose counts are told, so that the message stays well within a frame.
 const MAX_COUNTS: usize = 20_000;
-const ISOLATED_CLAIM_DELAY_MS: Millis = 6_000;
-/// After this long without acting (the state service was out, or this process
-/// stood still) the silence of machines counts from now on.
-const UNHEARD_MS: Millis = 1_500;
+/// Pause before a claim after resigning: others go first.
+const RESIGNED_CLAIM_DELAY_MS: Millis = 6_000;
+/// The same after a worker has seen a higher fencing token.
+const OUTRANKED_CLAIM_DELAY_MS: Millis = 1_000;
 
 impl Controller {
     pub(super) fn advance_leader(&mut self) {
-        if !self.election.is_acting_leader(self.now) || self.shard.is_none() {
-            self.give_up_loading();
+        if !self.leads() || self.shard.is_none() {
+            self.give_up_stalled_loading();
             return;
         }
         if self.is_isolated() {
@@ -31,62 +25,56 @@
                 term = self.election.term(),
                 "resigned: no controller and no worker in reach"
             );
-            let transaction = Transaction {
-                conditions: vec![self.election.condition(&self.keys)],
-                changes: vec![Change::delete(self.keys.leader())],
-            };
-            self.step_down(ISOLATED_CLAIM_DELAY_MS);
-            self.enqueue(Purpose::Resign, StoreRequest::Transact(transaction.into()));
+            self.resign(RESIGNED_CLAIM_DELAY_MS);
             return;
         }
         if self.raise_term() {
             return;
         }
+        self.maintain();
+        self.place();
+        self.commit();
+        self.deliver_commands();
+        self.advance_cloud();
+        self.send_counts();
+    }
+
+    /// What time alone has changed.
+    fn maintain(&mut self) {
         let Some(shard) = &mut self.shard else {
             return;
         };
         shard.wall_clock = self.wall_clock;
-        if self.now > self.acted_at + UNHEARD_MS {
+        let was_absent = self.leader_timers.note_acting(self.now);
+        if was_absent {
             shard.workers.hearing_since = self.now;
         }
-        self.acted_at = self.now;
-        if self.now >= self.maintained_at + MAINTENANCE_EVERY_MS {
-            self.maintained_at = self.now;
+        if self.leader_timers.take_maintenance_due(self.now) {
             shard.close_expired(self.now);
             shard.drain(self.now);
             shard.plan_fleet(self.now);
             self.expire_deliveries();
             self.delete_decommissioned();
         }
-        self.place();
-        self.commit();
-        self.deliver_commands();
-        self.advance_cloud();
-        self.send_counts();
     }
 
-    /// A round of placement, if one is due. What a round costs grows with the
-    /// machines and jobs that it looks at, so rounds are rarer with many.
+    /// A round of placement, if one is due.
     fn place(&mut self) {
         let Some(shard) = &mut self.shard else {
             return;
         };
-        self.place_wanted |= std::mem::take(&mut shard.workers.capacity_changed);
+        if std::mem::take(&mut shard.workers.capacity_changed) {
+            self.placement_rounds.request();
+        }
         let size = shard.workers.machines.len() + shard.jobs.table.len();
-        let due = if self.place_wanted {
-            PLACE_EVERY_MS + size as Millis / 20
-        } else {
-            PLACE_ANYWAY_MS
-        };
-        if self.now >= self.placed_at + due {
-            self.placed_at = self.now;
-            self.place_wanted = false;
-            shard.place(self.now);
-            // On promises alone nothing can be written, and so nothing started in
-            // place of what would be stopped.
-            if self.election.is_lease_valid(self.now) {
-                shard.preempt(self.now);
-            }
+        if !self.placement_rounds.take_due(self.now, size) {
+            return;
+        }
+        shard.place(self.now);
+        // On a lease extension alone nothing can be written, and so nothing started in
+        // place of what would be stopped.
+        if self.election.is_lease_valid(self.now) {
+            shard.preempt(self.now);
         }
     }
 
@@ -100,7 +88,7 @@
         let merged = shard.merge_report(now, report, path);
         match merged {
             Merged::Newest(ix) => {
-                self.worker_heard_at = now;
+                self.leader_timers.worker_heard(now);
                 let machine = shard.workers.machines.get(ix);
                 if machine
                     .is_some_and(|machine| !machine.unmatched_tasks.is_empty() && machine.delivery.not_before <= now)
@@ -115,7 +103,7 @@
                     term = self.election.term(),
                     "lost the shard: a worker has seen a higher fencing token"
                 );
-                self.step_down(1_000);
+                self.step_down(OUTRANKED_CLAIM_DELAY_MS);
                 self.watch_cache.restart();
             }
             Merged::Stale | Merged::MachineDeleted => {}
@@ -156,11 +144,11 @@
         })
     }
 
+    /// Tells the other controllers the task counts of unfinished jobs, if it is time.
     fn send_counts(&mut self) {
-        if self.now < self.counts_at + COUNTS_EVERY_MS {
+        if !self.leader_timers.take_counts_due(self.now) {
             return;
         }
-        self.counts_at = self.now;
         let Some(shard) = &self.shard else {
             return;
         };
@@ -178,45 +166,29 @@
             })
             .take(MAX_COUNTS)
             .collect();
+        self.log_summary(shard);
+        let shard = SHARD.into();
+        self.broadcast(&Message::TaskCounts { shard, counts });
+    }
+
+    /// One line a second for operators.
+    fn log_summary(&self, shard: &Shard) {
+        let live_jobs = shard.jobs.table.iter().filter(|(_, job)| job.live());
+        let attempts = || shard.workers.attempts.iter().map(|(_, attempt)| attempt);
+        let machines = || shard.workers.machines.iter().map(|(_, machine)| machine);
+        let in_flight = shard.pending_writes.in_flight.as_ref();
         tracing::debug!(
             jobs = shard.jobs.table.len(),
-            waiting = shard
-                .jobs
-                .table
-                .iter()
-                .filter(|(_, job)| job.live())
-                .map(|(_, job)| job.waiting())
-                .sum::<u32>(),
-            open = shard.workers.attempts.iter().count(),
-            unwritten = shard
-                .workers
-                .attempts
-                .iter()
-                .filter(|(_, attempt)| !attempt.written)
-                .count(),
-            unseen = shard
-                .workers
-                .attempts
-                .iter()
-                .filter(|(_, attempt)| attempt.observed_state.is_none())
-                .count(),
+            waiting = live_jobs.map(|(_, job)| job.waiting()).sum::<u32>(),
+            open = attempts().count(),
+            unwritten = attempts().filter(|attempt| !attempt.written).count(),
+            unseen = attempts().filter(|attempt| attempt.observed_state.is_none()).count(),
             machines = shard.workers.machines.len(),
-            usable = shard
-                .workers
-                .machines
-                .iter()
-                .filter(|(_, machine)| machine.usable(self.now))
-                .count(),
-            writing_ms = shard
-                .pending_writes
-                .in_flight
-                .as_ref()
-                .map_or(0, |flight| self.now - flight.sent),
-            queued = self.queue.len(),
+            usable = machines().filter(|machine| machine.usable(self.now)).count(),
+            writing_ms = in_flight.map_or(0, |flight| self.now - flight.sent),
+            queued = self.store_client.queue_len(),
             asked = self.admission.len(),
             "shard"
         );
-        let shard = SHARD.into();
-        self.broadcast(&Message::TaskCounts { shard, counts });
     }
 }
--- /dev/null
+++ b/src/controller/lease_extension.rs
@@ -0,0 +1,89 @@
+//! Lease extensions between controllers. The module [`crate::election`] says what they
+//! are.
+
+use super::{Controller, Output, SHARD};
+use crate::Millis;
+use crate::peers::{CancelledJob, Message};
+use crate::wire::JobState;
+
+/// Cancellations told with a promise; one that would take more is not given.
+const MAX_CANCELLED: usize = 200;
+
+impl Controller {
+    /// As the leader: asks all others, if it is time.
+    pub(super) fn request_lease_extension(&mut self) {
+        if !self.election.take_extension_request_due(self.now) {
+            return;
+        }
+        let message = Message::RequestLeaseExtension {
+            shard: SHARD.into(),
+            term: self.election.term(),
+            requested_at: self.now,
+            watch_revision: self.watch_cache.revision,
+        };
+        self.broadcast(&message);
+    }
+
+    /// The leader can't reach the state service. If nor can we, and we know what
+    /// was cancelled, we promise not to claim, and tell it of what it may not know.
+    pub(super) fn on_extension_request(&mut self, node: String, term: u64, requested_at: Millis, watch_revision: u64) {
+        if !self.store_client.is_failing() || !self.watch_cache.complete {
+            return;
+        }
+        let Some(cancelled_jobs) = self.cancelled_since(watch_revision) else {
+            return;
+        };
+        if self.election.grant_extension(self.now) {
+            let message = Message::GrantLeaseExtension {
+                term,
+                requested_at,
+                cancelled_jobs,
+            };
+            self.outputs.push(Output::Peer { node, message });
+        }
+    }
+
+    /// Jobs cancelled after that revision. `None`: too many to tell.
+    fn cancelled_since(&self, watch_revision: u64) -> Option<Vec<CancelledJob>> {
+        let newer = self.watch_cache.jobs().values();
+        let newer = newer.filter(|(key, version)| *version > watch_revision && key.ended == Some(JobState::Cancelled));
+        let cancelled_jobs: Vec<_> = newer
+            .take(MAX_CANCELLED + 1)
+            .map(|(key, version)| CancelledJob {
+                key: key.clone(),
+                version: *version,
+            })
+            .collect();
+        (cancelled_jobs.len() <= MAX_CANCELLED).then_some(cancelled_jobs)
+    }
+
+    /// A promise for the leader's term. What was cancelled through others is stopped
+    /// before their promise counts.
+    pub(super) fn on_extension_grant(
+        &mut self,
+        node: &str,
+        term: u64,
+        requested_at: Millis,
+        cancelled_jobs: Vec<CancelledJob>,
+    ) {
+        if term != self.election.term() || !self.leads() {
+            return;
+        }
+        for job in cancelled_jobs {
+            self.learn_cancelled(job);
+        }
+        self.peers.extension_granted(node, requested_at);
+        if let Some(requested_at) = self.peers.extension_granted_by_all() {
+            self.election.lease_extended(self.now, requested_at);
+        }
+    }
+
+    fn learn_cancelled(&mut self, CancelledJob { key, version }: CancelledJob) {
+        let id = key.spec.id.clone();
+        let known = self.watch_cache.jobs().get(&id);
+        if version > self.watch_cache.revision && known.is_none_or(|&(_, known)| known < version) {
+            self.watch_cache.record_job(&id, key, version);
+            self.job_changed(&id);
+        }
+    }
+}
--- /dev/null
+++ b/src/controller/peer_messages.rs
@@ -0,0 +1,112 @@
+//! Messages of other controllers, handed to what handles each.
+
+use super::{Controller, Output, SHARD};
+use crate::admission::{Requester, busy};
+use crate::peers::{AddressedCommands, Answer, CommandReply, HeartbeatState, Message, UserRequest};
+
+impl Controller {
+    pub(super) fn on_peer_message(&mut self, node: String, message: Message) {
+        match message {
+            Message::Heartbeat {
+                shard,
+                leading_term,
+                store_reachable,
+                ..
+            } => {
+                let state = HeartbeatState {
+                    leading_term: leading_term.filter(|_| shard == SHARD),
+                    store_reachable,
+                };
+                self.peers.on_heartbeat(self.now, &node, state);
+            }
+            Message::ForwardRequest {
+                shard,
+                id,
+                user_request,
+            } => self.on_forwarded_request(node, &shard, id, user_request),
+            Message::ForwardReply { id, answer } => self.on_forward_reply(id, answer),
+            Message::RelayReports { reports, .. } => self.on_relayed_reports(node, reports),
+            Message::ReportReplies { answers } => self.on_report_replies(answers),
+            Message::RequestLeaseExtension {
+                term,
+                requested_at,
+                watch_revision,
+                ..
+            } => self.on_extension_request(node, term, requested_at, watch_revision),
+            Message::GrantLeaseExtension {
+                term,
+                requested_at,
+                cancelled_jobs,
+            } => self.on_extension_grant(&node, term, requested_at, cancelled_jobs),
+            Message::DeliverCommands { commands, .. } => self.deliver_for_leader(&node, commands),
+            Message::CommandReplies { replies } => self.on_command_replies(replies),
+            Message::TaskCounts { shard, counts } if shard == SHARD => self.peers.set_task_counts(counts),
+            Message::TaskCounts { .. } => {}
+        }
+    }
+
+    fn on_forwarded_request(&mut self, node: String, shard: &str, id: u64, user_request: UserRequest) {
+        if shard != SHARD {
+            let answer = busy("another shard");
+            let message = Message::ForwardReply { id, answer };
+            self.outputs.push(Output::Peer { node, message });
+            return;
+        }
+        let requester = Requester::Peer { node, id };
+        // Never forwarded twice.
+        let wants =
+            self.with_admission(|admission, context, _| admission.handle(context, requester, user_request, None));
+        self.apply_effects(wants);
+    }
+
+    fn on_forward_reply(&mut self, id: u64, answer: Answer) {
+        if let Some(op) = self.forwarded_requests.take(id) {
+            let wants = self.admission.forwarded(op, answer);
+            self.apply_effects(wants);
+        }
+    }
+
+    /// Delivers commands to workers for the leader, within what may be in flight.
+    fn deliver_for_leader(&mut self, leader: &str, commands: Vec<AddressedCommands>) {
+        for AddressedCommands { id, address, commands } in commands {
+            if self.delegated_commands.len() >= self.connections.in_flight {
+                self.delegated_commands.refuse(leader, id);
+                continue;
+            }
+            let call = self.call();
+            self.delegated_commands.sent(call, leader, id);
+            self.outputs.push(Output::Worker {
+                call,
+                address,
+                commands,
+            });
+        }
+    }
+
+    /// As the leader: the outcomes of commands that a peer delivered.
+    fn on_command_replies(&mut self, replies: Vec<CommandReply>) {
+        for CommandReply { id, reply } in replies {
+            self.on_delivery_reply(id, reply);
+        }
+    }
+
+    pub(super) fn broadcast(&mut self, message: &Message) {
+        for node in self.peers.names() {
+            let message = message.clone();
+            self.outputs.push(Output::Peer { node, message });
+        }
+    }
+
+    pub(super) fn send_heartbeat(&mut self) {
+        if !self.peers.take_heartbeat_due(self.now) {
+            return;
+        }
+        let message = Message::Heartbeat {
+            node: self.settings.node.clone(),
+            shard: SHARD.into(),
+            leading_term: self.leads().then_some(self.election.term()),
+            store_reachable: self.store_client.is_reachable(self.now),
+        };
+        self.broadcast(&message);
+    }
+}
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -2,11 +2,12 @@
 
 use super::{Controller, Output, Purpose, SHARD};
 use crate::admission::{Admission, AdmissionContext, AdmissionEffect, Requester, TaskCounts, Verdict};
-use crate::peers::{Message, PeerLinks, UserRequest};
-use crate::store::StoreRequest;
+use crate::peers::{Answer, Message, PeerLinks, UserRequest};
+use crate::store::{JobKey, StoreRequest};
 use crate::wire::JobSpec;
 
 impl Controller {
+    /// Lets admission act, with what its answers depend on.
     pub(super) fn with_admission<T>(
         &mut self,
         act: impl FnOnce(&mut Admission, &AdmissionContext, &PeerLinks) -> T,
@@ -41,13 +42,7 @@
     pub(super) fn apply_effects(&mut self, effects: Vec<AdmissionEffect>) {
         for effect in effects {
             match effect {
-                AdmissionEffect::Answer(Requester::User(request), answer) => {
-                    self.outputs.push(Output::Answer { request, answer })
-                }
-                AdmissionEffect::Answer(Requester::Peer { node, id }, answer) => self.outputs.push(Output::Peer {
-                    node,
-                    message: Message::ForwardReply { id, answer },
-                }),
+                AdmissionEffect::Answer(requester, answer) => self.answer_requester(requester, answer),
                 AdmissionEffect::ReadEnd { request_id, key } => {
                     self.enqueue(Purpose::ReadEnd(request_id), StoreRequest::Get(key))
                 }
@@ -61,31 +56,43 @@
                     request_id,
                     node,
                     user_request,
-                } => {
-                    self.next_forward += 1;
-                    let id = self.next_forward;
-                    self.forwards.insert(id, request_id);
-                    self.outputs.push(Output::Peer {
-                        node,
-                        message: Message::ForwardRequest {
-                            shard: SHARD.into(),
-                            id,
-                            user_request,
-                        },
-                    });
-                }
-                AdmissionEffect::RecordJob { id, job, revision } => {
-                    // The watch may have been faster, even to the job's end.
-                    if revision > self.watch_cache.revision {
-                        self.watch_cache.record_job(&id, job, revision);
-                        self.job_changed(&id);
-                    }
-                }
+                } => self.forward(request_id, node, user_request),
+                AdmissionEffect::RecordJob { id, job, revision } => self.record_written(&id, job, revision),
             }
         }
     }
 
-    pub(super) fn user(&mut self, request: u64, user_request: UserRequest) {
+    fn answer_requester(&mut self, requester: Requester, answer: Answer) {
+        self.outputs.push(match requester {
+            Requester::User(request) => Output::Answer { request, answer },
+            Requester::Peer { node, id } => Output::Peer {
+                node,
+                message: Message::ForwardReply { id, answer },
+            },
+        });
+    }
+
+    fn forward(&mut self, op: u64, node: String, user_request: UserRequest) {
+        let id = self.peer_request_ids.next();
+        self.forwarded_requests.add(id, op);
+        let message = Message::ForwardRequest {
+            shard: SHARD.into(),
+            id,
+            user_request,
+        };
+        self.outputs.push(Output::Peer { node, message });
+    }
+
+    /// A job key was written by us. The watch may have been faster, even to the job's
+    /// end.
+    fn record_written(&mut self, id: &str, key: JobKey, revision: u64) {
+        if revision > self.watch_cache.revision {
+            self.watch_cache.record_job(id, key, revision);
+            self.job_changed(id);
+        }
+    }
+
+    pub(super) fn on_user_request(&mut self, request: u64, user_request: UserRequest) {
         let forward = self.forward_to(&user_request);
         let requester = Requester::User(request);
         let wants =
@@ -93,16 +100,24 @@
         self.apply_effects(wants);
     }
 
+    /// Gives up what admission has waited for long enough.
+    pub(super) fn tick_admission(&mut self) {
+        let wants = self.with_admission(|admission, context, peers| {
+            admission.tick(context, &|node| peers.is_in_reach(context.now, node))
+        });
+        self.apply_effects(wants);
+    }
+
     /// Who should answer: the leader takes submissions and cancels; any other
     /// controller only when this one can't use the state service.
-    pub(super) fn forward_to(&self, user_request: &UserRequest) -> Option<String> {
+    fn forward_to(&self, user_request: &UserRequest) -> Option<String> {
         if self.leads() {
             return None;
         }
         let leader = self.peers.leader(self.now);
         let to = match user_request {
             UserRequest::Submit(_) | UserRequest::Cancel(_) if leader.is_some() => leader,
-            _ if self.store_ok() => None,
+            _ if self.store_client.is_reachable(self.now) => None,
             _ => leader.or(self.peers.with_store(self.now)),
         };
         to.map(str::to_owned)
@@ -112,9 +127,9 @@
     /// it hears too few of them to tell: users of a controller that is cut off
     /// would ask in vain. In an outage that all share, users are better
     /// answered than refused.
-    pub(super) fn health(&mut self, request: u64) {
+    pub(super) fn on_health_check(&mut self, request: u64) {
         let shared_outage = self.peers.most_in_reach(self.now) && self.peers.with_store(self.now).is_none();
-        let well = self.store_ok() || (self.watch_cache.complete && shared_outage);
+        let well = self.store_client.is_reachable(self.now) || (self.watch_cache.complete && shared_outage);
         let answer = if well {
             crate::admission::text(200, "")
         } else {
--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -2,85 +2,110 @@
 //! page after the other, so that heartbeats and renewals come in between.
 
 use super::store_calls::RETRY_MS;
-use super::{Controller, Loading, Purpose};
+use super::{Controller, LoadStage, Purpose};
 use crate::Millis;
 use crate::election::Phase;
 use crate::store::{StoreReply, StoreRequest, tail};
+use crate::wire::{Entry, Page};
 
-/// Loading is given up when nothing was read for this long: a full store that
-/// answers slowly takes its time, and beginning anew would take as long again.
-const LOAD_PATIENCE_MS: Millis = 5_000;
+/// Pause before the next claim after loading was given up.
+const CLAIM_DELAY_MS: Millis = 500;
 
 impl Controller {
-    pub(super) fn load(&mut self, part: Loading, after: String) {
-        let prefix = match part {
-            Loading::Machines => self.keys.inventories(),
-            Loading::MachineRequests => self.keys.machine_requests(),
-            Loading::WatchCache => self.keys.watched(),
-            Loading::Firings => self.keys.firings(),
+    /// Reads the page of a stage after that key.
+    pub(super) fn load_page(&mut self, stage: LoadStage, after: String) {
+        let prefix = match stage {
+            LoadStage::Machines => self.keys.inventories(),
+            LoadStage::MachineRequests => self.keys.machine_requests(),
+            LoadStage::WatchCache => self.keys.watched(),
+            LoadStage::Firings => self.keys.firings(),
         };
-        self.enqueue(Purpose::Load(part), StoreRequest::List { prefix, after });
+        self.enqueue(Purpose::Load(stage), StoreRequest::List { prefix, after });
     }
 
-    pub(super) fn load_answered(&mut self, part: Loading, request: &StoreRequest, reply: StoreReply) {
+    pub(super) fn on_load_reply(&mut self, stage: LoadStage, request: &StoreRequest, reply: StoreReply) {
         if self.election.phase() != Phase::Loading {
             return;
         }
         if matches!(reply, StoreReply::Page(_) | StoreReply::Log(_)) {
-            self.load_heard_at = self.now;
+            self.load_progress.answered(self.now);
         }
-        if part == Loading::WatchCache && self.load_synced(&reply) {
-            self.load(Loading::Firings, String::new());
+        if stage == LoadStage::WatchCache && self.load_jobs(&reply) {
+            self.load_page(LoadStage::Firings, String::new());
             return;
         }
-        let StoreReply::Page(page) = reply else {
-            let request = match part {
-                Loading::WatchCache => self.watch(0),
-                _ => request.clone(),
-            };
-            self.enqueue_after(RETRY_MS, Purpose::Load(part), request);
+        match reply {
+            StoreReply::Page(page) => self.on_loaded_page(stage, &page),
+            _ => self.retry_load(stage, request),
+        }
+    }
+
+    fn retry_load(&mut self, stage: LoadStage, request: &StoreRequest) {
+        let request = match stage {
+            LoadStage::WatchCache => self.watch_request(0),
+            _ => request.clone(),
+        };
+        self.enqueue_after(RETRY_MS, Purpose::Load(stage), request);
+    }
+
+    fn on_loaded_page(&mut self, stage: LoadStage, page: &Page) {
+        if self.shard.is_none() {
+            return;
+        }
+        for entry in &page.items {
+            self.load_entry(stage, entry);
+        }
+        match page.items.last() {
+            Some(last) if page.more => self.load_page(stage, last.key.clone()),
+            _ => self.load_next_stage(stage),
+        }
+    }
+
+    fn load_entry(&mut self, stage: LoadStage, entry: &Entry) {
+        let Some(shard) = &mut self.shard else {
             return;
         };
+        match stage {
+            LoadStage::Machines => shard.load_group(self.now, tail(entry, &self.keys.inventories()), entry),
+            LoadStage::MachineRequests => shard.load_machine_request(entry),
+            LoadStage::WatchCache => {}
+            LoadStage::Firings => self.load_firing(entry),
+        }
+    }
+
+    fn load_firing(&mut self, entry: &Entry) {
         let Some(shard) = &mut self.shard else {
             return;
         };
-        let next = page.items.last().map(|entry| entry.key.clone());
-        for entry in &page.items {
-            match part {
-                Loading::Machines => shard.load_group(self.now, tail(entry, &self.keys.inventories()), entry),
-                Loading::MachineRequests => shard.load_machine_request(entry),
-                Loading::WatchCache => {}
-                Loading::Firings => {
-                    let name = tail(entry, &self.keys.firings()).to_owned();
-                    let Some((job, number)) = name.split_once('/') else {
-                        continue;
-                    };
-                    // The job may be newer than the watch cache, which is brought up
-                    // to date before firings are read; if it is still missing,
-                    // it was cleaned up while these pages were read.
-                    if shard.jobs.table.find(job).is_some()
-                        && let Ok(number) = number.parse()
-                    {
-                        shard.load_chunk(self.now, job, number, entry);
-                    }
-                }
-            }
+        let Some((job, number)) = tail(entry, &self.keys.firings()).split_once('/') else {
+            return;
+        };
+        // The job may be newer than the watch cache, which is brought up to date before
+        // firings are read; if it is still missing, it was cleaned up while these pages
+        // were read.
+        if shard.jobs.table.find(job).is_some()
+            && let Ok(number) = number.parse()
+        {
+            shard.load_chunk(self.now, job, number, entry);
         }
-        match (page.more, next, part) {
-            (true, Some(after), _) => self.load(part, after),
-            (_, _, Loading::Machines) => self.load(Loading::MachineRequests, String::new()),
+    }
+
+    fn load_next_stage(&mut self, stage: LoadStage) {
+        match stage {
+            LoadStage::Machines => self.load_page(LoadStage::MachineRequests, String::new()),
             // The watch cache must be newer than the claim before firings are read.
-            (_, _, Loading::MachineRequests) => {
-                let request = self.watch(0);
-                self.enqueue(Purpose::Load(Loading::WatchCache), request);
+            LoadStage::MachineRequests => {
+                let request = self.watch_request(0);
+                self.enqueue(Purpose::Load(LoadStage::WatchCache), request);
             }
-            (_, _, Loading::WatchCache) => {}
-            (_, _, Loading::Firings) => self.loaded(),
+            LoadStage::WatchCache => {}
+            LoadStage::Firings => self.on_loaded(),
         }
     }
 
     /// The read that brings the watch cache up to date while loading came back.
-    pub(super) fn load_synced(&mut self, reply: &StoreReply) -> bool {
+    /// Whether it did, and the shard knows the jobs.
+    fn load_jobs(&mut self, reply: &StoreReply) -> bool {
         if !self.take_log(reply.clone()) {
             return false;
         }
@@ -93,7 +118,8 @@
         true
     }
 
-    pub(super) fn loaded(&mut self) {
+    /// Everything has been read: acts from now on.
+    fn on_loaded(&mut self) {
         let Some(shard) = &mut self.shard else {
             return;
         };
@@ -104,17 +130,17 @@
             term = self.election.term(),
             jobs = shard.jobs.table.len(),
             machines = shard.workers.machines.len(),
-            took_ms = self.now - self.loading_since,
+            took_ms = self.load_progress.took_ms(self.now),
             "took over the shard"
         );
         self.election.activate();
-        self.place_wanted = true;
+        self.placement_rounds.request();
     }
 
     /// Loading goes on as long as answers come.
-    pub(super) fn give_up_loading(&mut self) {
-        if self.election.phase() == Phase::Loading && self.now > self.load_heard_at + LOAD_PATIENCE_MS {
-            self.step_down(500);
+    pub(super) fn give_up_stalled_loading(&mut self) {
+        if self.election.phase() == Phase::Loading && self.load_progress.is_stalled(self.now) {
+            self.step_down(CLAIM_DELAY_MS);
         }
     }
 }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,6 +1,10 @@
 use super::*;
+use crate::Millis;
+use crate::election::Phase;
+use crate::peers::{Message, UserRequest};
 use crate::settings::tests::SAMPLE;
-use crate::wire::JobSpec;
+use crate::store::{StoreReply, StoreRequest};
+use crate::wire::{JobSpec, Transaction};
 
 /// Numbers of what a life of a controller asks peers first.
 fn asked(incarnation: u64) -> (u64, u64) {
@@ -221,11 +225,11 @@
 fn users_writes_get_more_of_the_rate_while_they_wait() {
     let settings = Settings::parse(SAMPLE).expect("valid settings");
     let mut controller = Controller::new(settings, Policy::default(), 7);
-    controller.election.activate();
-    let (_, own_before, users_before) = controller.budget();
+    let before = controller.store_client.rate_shares(Phase::Active);
     let transaction = Transaction::default();
     controller.enqueue(Purpose::Write(1), StoreRequest::Transact(transaction.into()));
-    let (_, own, users) = controller.budget();
-    assert!(users > 2.0 * users_before && own < own_before);
-    assert!(own + users <= own_before + users_before + 1e-9, "no more in all");
+    let after = controller.store_client.rate_shares(Phase::Active);
+    assert!(after.user_writes > 2.0 * before.user_writes && after.writes < before.writes);
+    let (all_before, all_after) = (before.writes + before.user_writes, after.writes + after.user_writes);
+    assert!(all_after <= all_before + 1e-9, "no more in all");
 }
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -5,7 +5,6 @@
 use crate::store::{StoreReply, StoreRequest, WatchedChange};
 use crate::wire::Catalogue;
 
-const CHECK_STORE_MS: Millis = 1_000;
 const WATCH_WAIT_MS: u64 = 10_000;
 /// Changes that come close together are taken in one answer.
 const WATCH_PAUSE_MS: Millis = 150;
@@ -15,37 +14,46 @@
 impl Controller {
     pub(super) fn advance_watch_cache(&mut self) {
         if !self.watch_cache.complete {
-            if !self.reading && self.now >= self.read_not_before {
-                self.reading = true;
-                self.enqueue(
-                    Purpose::ReadWatchCache,
-                    StoreRequest::List {
-                        prefix: self.keys.watched(),
-                        after: String::new(),
-                    },
-                );
+            if self.watch_state.take_read_due(self.now) {
+                self.read_watch_cache(String::new());
             }
             return;
         }
-        if !self.watching && self.now >= self.watch_not_before {
-            self.watching = true;
-            self.enqueue(Purpose::Watch, self.watch(WATCH_WAIT_MS));
+        if self.watch_state.take_watch_due(self.now) {
+            self.enqueue(Purpose::Watch, self.watch_request(WATCH_WAIT_MS));
         }
-        // Without other traffic, a look now and then tells whether the state
-        // service can be reached, and keeps the watch cache fresh.
-        if self.now >= self.store_asked_at + CHECK_STORE_MS {
-            self.sync(0);
+        if self.watch_state.is_refresh_due(self.now) {
+            self.refresh_watch_cache();
         }
     }
 
-    pub(super) fn sync(&mut self, number: u64) {
-        self.store_asked_at = self.now;
-        let sent = self.now;
-        self.enqueue(Purpose::Sync { number, sent }, self.watch(0));
+    /// One page of a full read.
+    fn read_watch_cache(&mut self, after: String) {
+        let prefix = self.keys.watched();
+        self.enqueue(Purpose::ReadWatchCache, StoreRequest::List { prefix, after });
+    }
+
+    /// Brings the watch cache up to date.
+    pub(super) fn refresh_watch_cache(&mut self) {
+        self.send_refresh(None);
+    }
+
+    /// Brings the watch cache up to date, for questions of admission too.
+    pub(super) fn confirm_for_admission(&mut self, read: u64) {
+        self.send_refresh(Some(read));
     }
 
-    /// What has changed of the watched keys since the watch cache's revision.
-    pub(super) fn watch(&self, wait_ms: u64) -> StoreRequest {
+    fn send_refresh(&mut self, admission_read: Option<u64>) {
+        self.watch_state.refresh_sent(self.now);
+        let purpose = Purpose::Refresh {
+            admission_read,
+            sent: self.now,
+        };
+        self.enqueue(purpose, self.watch_request(0));
+    }
+
+    /// Asks what has changed of the watched keys since the watch cache's revision.
+    pub(super) fn watch_request(&self, wait_ms: u64) -> StoreRequest {
         StoreRequest::Watch {
             prefix: self.keys.watched(),
             since: self.watch_cache.revision,
@@ -53,55 +61,53 @@
         }
     }
 
-    pub(super) fn watch_answered(&mut self, reply: StoreReply) {
-        self.watching = false;
-        let taken = self.take_log(reply);
-        self.watch_not_before = self.now + if taken { WATCH_PAUSE_MS } else { RETRY_MS };
+    pub(super) fn on_watch_reply(&mut self, reply: StoreReply) {
+        let is_up_to_date = self.take_log(reply);
+        let pause = if is_up_to_date { WATCH_PAUSE_MS } else { RETRY_MS };
+        self.watch_state.watch_answered(self.now + pause);
     }
 
-    /// The read sent then came back; questions of admission wait for it, if it has a
-    /// number.
-    pub(super) fn synced(&mut self, number: u64, sent: Millis, reply: StoreReply) {
-        let ok = self.take_log(reply);
-        if ok {
+    /// The refresh sent then came back. Questions of admission may wait for it.
+    pub(super) fn on_refreshed(&mut self, admission_read: Option<u64>, sent: Millis, reply: StoreReply) {
+        let is_up_to_date = self.take_log(reply);
+        if is_up_to_date {
             self.watch_cache_read(sent);
         }
-        if number > 0 {
-            let wants = self.with_admission(|admission, context, _| {
-                if ok {
-                    admission.synced(context, number)
+        if let Some(read) = admission_read {
+            let effects = self.with_admission(|admission, context, _| {
+                if is_up_to_date {
+                    admission.synced(context, read)
                 } else {
-                    admission.sync_failed(number)
+                    admission.sync_failed(read)
                 }
             });
-            self.apply_effects(wants);
+            self.apply_effects(effects);
         }
     }
 
-    pub(super) fn watch_cache_page(&mut self, request: &StoreRequest, reply: StoreReply) {
+    pub(super) fn on_watch_cache_page(&mut self, request: &StoreRequest, reply: StoreReply) {
         let StoreReply::Page(page) = reply else {
-            self.reading = false;
             self.watch_cache.restart();
-            self.read_not_before = self.now + RETRY_MS;
+            self.watch_state.read_failed(self.now + RETRY_MS);
             return;
         };
-        let next = page.items.last().map(|entry| entry.key.clone());
-        let prefix = self.keys.watched();
-        match (self.watch_cache.take_page(&self.keys, page), next) {
+        let last_key = page.items.last().map(|entry| entry.key.clone());
+        match (self.watch_cache.take_page(&self.keys, page), last_key) {
             (Some(changes), _) => {
-                self.reading = false;
-                self.watch_cache_changed(changes);
+                self.watch_state.read_complete();
+                self.on_watched_changes(changes);
             }
-            (None, Some(after)) => self.enqueue(Purpose::ReadWatchCache, StoreRequest::List { prefix, after }),
+            (None, Some(after)) => self.read_watch_cache(after),
             (None, None) => tracing::error!(?request, "an empty page says that there is more"),
         }
     }
 
+    /// Takes in what a watch gave. Whether the watch cache is up to date with it.
     pub(super) fn take_log(&mut self, reply: StoreReply) -> bool {
         match reply {
             StoreReply::Log(log) if self.watch_cache.complete => {
                 let changes = self.watch_cache.take_log(&self.keys, log.revision, log.events);
-                self.watch_cache_changed(changes);
+                self.on_watched_changes(changes);
                 true
             }
             StoreReply::TooOld => {
@@ -112,41 +118,45 @@
         }
     }
 
-    pub(super) fn watch_cache_changed(&mut self, changes: Vec<WatchedChange>) {
+    fn on_watched_changes(&mut self, changes: Vec<WatchedChange>) {
         for change in changes {
             match change {
                 WatchedChange::Leader => self.leader_changed(),
-                WatchedChange::Catalogue => {
-                    let value = self.watch_cache.catalogue.as_ref().map(|(value, _)| value.clone());
-                    match value.map(serde_json::from_value::<Catalogue>) {
-                        Some(Ok(catalogue)) => self.set_catalogue(catalogue),
-                        Some(Err(error)) => tracing::error!(%error, "the stored catalogue can't be read"),
-                        None => {}
-                    }
-                }
+                WatchedChange::Catalogue => self.take_stored_catalogue(),
                 WatchedChange::Job(id) => self.job_changed(&id),
-                WatchedChange::JobGone(id) => {
-                    self.peers.forget_task_counts(&id);
-                    if let Some(shard) = &mut self.shard {
-                        shard.jobs.deleted_jobs.push(id);
-                    }
-                }
+                WatchedChange::JobGone(id) => self.job_removed(id),
             }
         }
     }
 
+    fn take_stored_catalogue(&mut self) {
+        let value = self.watch_cache.catalogue.as_ref().map(|(value, _)| value.clone());
+        match value.map(serde_json::from_value::<Catalogue>) {
+            Some(Ok(catalogue)) => self.set_catalogue(catalogue),
+            Some(Err(error)) => tracing::error!(%error, "the stored catalogue can't be read"),
+            None => {}
+        }
+    }
+
     pub(super) fn set_catalogue(&mut self, catalogue: Catalogue) {
         if let Some(shard) = &mut self.shard {
             shard.set_catalogue(&catalogue);
         }
         self.catalogue = Some(catalogue);
-        self.place_wanted = true;
+        self.placement_rounds.request();
     }
 
     pub(super) fn job_changed(&mut self, id: &str) {
         if let (Some(shard), Some((key, version))) = (&mut self.shard, self.watch_cache.jobs().get(id)) {
             shard.job_changed(self.now, id, key, *version);
-            self.place_wanted = true;
+            self.placement_rounds.request();
+        }
+    }
+
+    fn job_removed(&mut self, id: String) {
+        self.peers.forget_task_counts(&id);
+        if let Some(shard) = &mut self.shard {
+            shard.jobs.deleted_jobs.push(id);
         }
     }
 }
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -38,6 +38,8 @@
 pub struct PeerLinks {
     links: BTreeMap<String, PeerLink>,
     heartbeat_sent_at: Millis,
+    /// Of the controllers in reach, which to choose next.
+    next_choice: usize,
     /// What the leader last told, by job: tasks done and running.
     task_counts: BTreeMap<String, (u32, u32)>,
 }
@@ -85,8 +87,7 @@
 
     /// Whether at least half of the other controllers are in reach.
     pub fn most_in_reach(&self, now: Millis) -> bool {
-        let reached = self.links.values().filter(|link| link.is_in_reach(now)).count();
-        reached * 2 >= self.links.len()
+        self.count_in_reach(now) * 2 >= self.links.len()
     }
 
     /// Whether there are no other controllers at all.
@@ -108,10 +109,17 @@
             .map(|(node, _)| node.as_str())
     }
 
-    /// The controllers in reach, by name.
-    pub fn all_in_reach(&self, now: Millis) -> Vec<&str> {
-        let links = self.links.iter().filter(|(_, link)| link.is_in_reach(now));
-        links.map(|(node, _)| node.as_str()).collect()
+    /// How many controllers are in reach.
+    pub fn count_in_reach(&self, now: Millis) -> usize {
+        self.links.values().filter(|link| link.is_in_reach(now)).count()
+    }
+
+    /// The controllers in reach, one after the other.
+    pub fn next_in_reach(&mut self, now: Millis) -> Option<String> {
+        self.next_choice = self.next_choice.wrapping_add(1);
+        let index = self.next_choice % self.count_in_reach(now).max(1);
+        let mut in_reach = self.links.iter().filter(|(_, link)| link.is_in_reach(now));
+        in_reach.nth(index).map(|(node, _)| node.clone())
     }
 
     /// A controller in reach that can use the state service.
--- a/src/persistence/pending_writes.rs
+++ b/src/persistence/pending_writes.rs
@@ -56,6 +56,11 @@
         self.settled.push_back(request);
     }
 
+    /// The machine requests whose keys are not in a transaction yet and can go.
+    pub fn answered_requests(&self) -> impl Iterator<Item = &AnsweredRequest> {
+        self.settled.iter()
+    }
+
     /// The machine requests that are not in a transaction yet.
     pub fn machine_requests(&self) -> impl Iterator<Item = &MachineRequestRecord> {
         self.machine_requests.iter()
