--- a/benches/costs/leader_costs.rs
+++ b/benches/costs/leader_costs.rs
@@ -153,7 +153,7 @@
             };
             let transaction = shard.next_transaction(0, &keys, claim, 48, 48).expect("due");
             black_box(serde_json::to_vec(&*transaction).expect("written"));
-            shard.committed(0, &keys, 5);
+            shard.committed(0, 5);
         });
 }
 
--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -221,7 +221,7 @@
         }
         // What is in flight depends on the claim as it is.
         self.term_raise.begin();
-        if !wants_reload && shard.pending_writes.in_flight.is_some() {
+        if !wants_reload && shard.pending_writes.is_in_flight() {
             return false;
         }
         shard.workers.needs_higher_term = false;
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -63,7 +63,7 @@
         let Some(shard) = &mut self.shard else {
             return;
         };
-        shard.committed(self.now, &self.keys, revision);
+        shard.committed(self.now, revision);
         self.placement_rounds.request();
     }
 
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -173,13 +173,13 @@
 
     /// One line a second for operators.
     fn log_summary(&self, shard: &Shard) {
-        let live_jobs = shard.jobs.table.iter().filter(|(_, job)| job.live());
+        let live_jobs = shard.jobs.table.iter().filter(|(_, job)| job.is_active());
         let attempts = || shard.workers.attempts.iter().map(|(_, attempt)| attempt);
         let machines = || shard.workers.machines.iter().map(|(_, machine)| machine);
-        let in_flight = shard.pending_writes.in_flight.as_ref();
+        let in_flight = shard.pending_writes.in_flight();
         tracing::debug!(
             jobs = shard.jobs.table.len(),
-            waiting = live_jobs.map(|(_, job)| job.waiting()).sum::<u32>(),
+            waiting = live_jobs.map(|(_, job)| job.waiting_tasks()).sum::<u32>(),
             open = attempts().count(),
             unwritten = attempts().filter(|attempt| !attempt.written).count(),
             unseen = attempts().filter(|attempt| attempt.observed_state.is_none()).count(),
--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -53,20 +53,20 @@
         };
         if job.ended.is_some() {
             if job.open.is_empty() {
-                self.pending_writes.cleanups.insert(attempt.job);
+                self.pending_writes.queue_clean_up(attempt.job);
             }
             return;
         }
         let number = job.chunk_of(attempt.task, self.jobs.chunk_tasks);
         if let Some(chunk) = job.chunks.get_mut(number) {
-            chunk.dirty = true;
+            chunk.mark_changed();
         }
-        self.pending_writes.chunks.insert(ChunkId {
+        self.pending_writes.queue_chunk(ChunkId {
             job: attempt.job,
             number: number as u32,
         });
-        if job.complete() {
-            self.pending_writes.finished.insert(attempt.job);
+        if job.is_complete() {
+            self.pending_writes.queue_finished_job(attempt.job);
         }
     }
 
@@ -94,7 +94,7 @@
             }
         }
         if self.jobs.table.get(ix).is_some_and(|job| job.open.is_empty()) {
-            self.pending_writes.cleanups.insert(ix);
+            self.pending_writes.queue_clean_up(ix);
         }
     }
 
@@ -120,15 +120,15 @@
         }
         Outcome::Error => {
             avoid_machine(job, attempt);
-            let pause = if job.fails_everywhere() {
+            let pause = if job.is_likely_mistaken() {
                 error_pause(job.errors)
             } else {
                 0
             };
-            job.run_again(attempt.task, now + pause);
+            job.retry_task(attempt.task, now + pause);
         }
-        Outcome::Refused => job.run_again(attempt.task, now + REFUSED_RETRY_MS),
-        Outcome::Stopped | Outcome::Lost => job.run_again(attempt.task, now),
+        Outcome::Refused => job.retry_task(attempt.task, now + REFUSED_RETRY_MS),
+        Outcome::Stopped | Outcome::Lost => job.retry_task(attempt.task, now),
     }
 }
 
--- a/src/controller/shard/scaling.rs
+++ b/src/controller/shard/scaling.rs
@@ -15,7 +15,9 @@
         self.decommission_failed(now);
         let (fleet, context) = self.fleet_and_context(now);
         let plan = fleet.plan(&context);
-        self.pending_writes.machine_requests.extend(plan.machine_requests);
+        for request in plan.machine_requests {
+            self.pending_writes.queue_machine_request(request);
+        }
         self.decommission(&plan.idle_machines);
     }
 
@@ -50,7 +52,7 @@
             workers: &self.workers,
             topology: &self.topology,
             policy: &self.policy,
-            unwritten_requests: &self.pending_writes.machine_requests,
+            unwritten_requests: self.pending_writes.machine_requests(),
         };
         (&mut self.fleet, context)
     }
--- a/src/controller/shard/tests/attempts.rs
+++ b/src/controller/shard/tests/attempts.rs
@@ -85,14 +85,10 @@
         ReportPath::Heartbeat,
     );
     let job = shard.jobs.table.find("j-1").expect("known");
-    shard.pending_writes.chunks.insert(ChunkId { job, number: 7 });
-    shard.pending_writes.cleanups.insert(job);
-    shard.jobs.deleted_jobs.push("j-1".into());
+    shard.pending_writes.queue_chunk(ChunkId { job, number: 7 });
+    shard.pending_writes.queue_clean_up(job);
+    shard.jobs.note_deleted("j-1".into());
     shard.forget_deleted_jobs();
     assert!(shard.jobs.table.is_empty());
-    assert!(
-        shard.pending_writes.chunks.is_empty()
-            && shard.pending_writes.starts.is_empty()
-            && shard.pending_writes.cleanups.is_empty()
-    );
+    assert!(!shard.pending_writes.has_changes_of_jobs());
 }
--- a/src/controller/shard/tests/commands.rs
+++ b/src/controller/shard/tests/commands.rs
@@ -12,7 +12,7 @@
     shard.merge_report(10, &report(1, 3, 5, over), ReportPath::Heartbeat);
     assert!(shard.commands(10, machine).is_empty());
     let ix = shard.jobs.table.find("j-1").expect("known");
-    shard.jobs.table.get_mut(ix).expect("there").chunks[0].dirty = false;
+    shard.jobs.table.get_mut(ix).expect("there").chunks[0].discard_changes();
     assert!(matches!(shard.commands(10, machine)[..], [Command::Forget { .. }]));
     // Not while a start that went unanswered may still bring it back.
     machine_of_mut(&mut shard, machine).unconfirmed_start_term = 5;
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -50,7 +50,7 @@
     assert_eq!((open(shard), shard.jobs.team_quotas[0].used.cpus), (1, used));
     shard.next_transaction(MINUTE, &keys, claim, 48, 48).expect("due again");
     assert_eq!((open(shard), shard.jobs.team_quotas[0].used.cpus), (1, used));
-    shard.committed(MINUTE, &keys, 9);
+    shard.committed(MINUTE, 9);
     assert_eq!((open(shard), shard.jobs.team_quotas[0].used.cpus), (0, 0.0));
 }
 
--- a/src/controller/shard/tests/scheduling.rs
+++ b/src/controller/shard/tests/scheduling.rs
@@ -9,7 +9,7 @@
     /// Opens an attempt of a task on a machine, whatever placement would choose.
     pub fn open_attempt(&mut self, job: JobIx, task: u32, machine: MachineIx) {
         let chunk = self.placement_context(0).open_attempt(job, task, machine);
-        self.pending_writes.starts.extend(chunk);
+        self.pending_writes.queue_starts(chunk);
     }
 }
 
@@ -91,9 +91,9 @@
     shard.job_changed(0, "j-2", &backfill("j-2", true), 2);
     let job = shard.jobs.table.find("j-2").expect("known");
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
-    assert!(shard.jobs.table.get(job).expect("there").old(NOW));
+    assert!(shard.jobs.table.get(job).expect("there").goes_first_by_age(NOW));
     shard.open_attempt(job, 0, machine);
     let known = shard.jobs.table.get(job).expect("there");
-    assert!(!known.old(NOW));
-    assert!(known.has_slack(NOW), "it is never due");
+    assert!(!known.goes_first_by_age(NOW));
+    assert!(known.can_restart_in_time(NOW), "it is never due");
 }
--- a/src/controller/shard/tests/transactions.rs
+++ b/src/controller/shard/tests/transactions.rs
@@ -69,7 +69,7 @@
     assert!(next(&mut shard, MAX_CHANGES).is_none(), "one is in flight");
     assert!(shard.workers.attempts.iter().all(|(_, attempt)| !attempt.written));
     shard.workers.delivery_due.clear();
-    shard.committed(10_000, &keys(), 7);
+    shard.committed(10_000, 7);
     assert!(shard.workers.attempts.iter().all(|(_, attempt)| attempt.written));
     assert_eq!(shard.workers.delivery_due.len(), 1);
     assert!(!shard.starts_wait());
@@ -106,7 +106,7 @@
     let end = next(&mut shard, MAX_CHANGES).expect("due");
     assert_eq!(put_keys(&end), [keys().end("j-1"), keys().job("j-1")]);
     assert!(deleted_keys(&end).is_empty());
-    shard.committed(10_000, &keys(), 9);
+    shard.committed(10_000, 9);
     let job = shard.jobs.table.find("j-1").expect("not cleaned up yet");
     let job = shard.jobs.table.get(job).expect("there");
     assert_eq!((job.ended, job.key_version), (Some(JobState::Done), 9));
@@ -114,7 +114,7 @@
     let chunks = [1, 2, 3].map(|number| keys().firing("j-1", number));
     assert_eq!(deleted_keys(&clean_up)[..3], chunks);
     assert_eq!(deleted_keys(&clean_up)[3..], [keys().job("j-1")]);
-    shard.committed(10_000, &keys(), 10);
+    shard.committed(10_000, 10);
     assert!(shard.jobs.table.is_empty());
     assert!(next(&mut shard, MAX_CHANGES).is_none());
 }
@@ -124,15 +124,15 @@
 fn a_clean_up_goes_on_where_the_last_transaction_left_it() {
     let mut shard = finished_shard();
     next(&mut shard, MAX_CHANGES).expect("due");
-    shard.committed(10_000, &keys(), 9);
+    shard.committed(10_000, 9);
     let first = next(&mut shard, 4).expect("due");
     assert_eq!(deleted_keys(&first), [1, 2].map(|number| keys().firing("j-1", number)));
     shard.not_applied();
     assert_eq!(next(&mut shard, 4).expect("due again"), first);
-    shard.committed(10_000, &keys(), 10);
+    shard.committed(10_000, 10);
     let second = next(&mut shard, 4).expect("due");
     assert_eq!(deleted_keys(&second), [keys().firing("j-1", 3), keys().job("j-1")]);
-    shard.committed(10_000, &keys(), 11);
+    shard.committed(10_000, 11);
     assert!(shard.jobs.table.is_empty());
 }
 
@@ -151,7 +151,7 @@
     let transaction = next(&mut shard, MAX_CHANGES).expect("due");
     assert_eq!(put_keys(&transaction), [keys().machine_request("pool-5-0")]);
     assert!(shard.fleet.machine_requests().is_empty());
-    shard.committed(10_000, &keys(), 7);
+    shard.committed(10_000, 7);
     let pending = shard.fleet.machine_requests();
     assert_eq!(pending.len(), 1);
     assert_eq!((&pending[0].value, pending[0].version), (&record, 7));
@@ -172,7 +172,7 @@
     assert_eq!(deleted_keys(&both), [keys().machine_request("pool-5-0")]);
     shard.not_applied();
     assert_eq!(next(&mut shard, MAX_CHANGES).expect("due again"), both);
-    shard.committed(10_000, &keys(), 7);
+    shard.committed(10_000, 7);
     assert!(shard.workers.machines.get(machine).expect("there").written);
     assert!(next(&mut shard, MAX_CHANGES).is_none());
 }
--- a/src/controller/shard/transactions.rs
+++ b/src/controller/shard/transactions.rs
@@ -36,7 +36,7 @@
     }
 
     /// The transaction in flight was applied at `revision`.
-    pub fn committed(&mut self, now: Millis, _keys: &Keys, revision: u64) {
+    pub fn committed(&mut self, now: Millis, revision: u64) {
         let (pending_writes, context) = self.write_context();
         let effects = pending_writes.committed(context, revision);
         for attempt in effects.withdrawn_attempts {
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -156,7 +156,7 @@
     fn job_removed(&mut self, id: String) {
         self.peers.forget_task_counts(&id);
         if let Some(shard) = &mut self.shard {
-            shard.jobs.deleted_jobs.push(id);
+            shard.jobs.note_deleted(id);
         }
     }
 }
--- a/src/fleet/forecast.rs
+++ b/src/fleet/forecast.rs
@@ -103,7 +103,7 @@
 
 fn live_jobs<'a>(context: &FleetContext<'a>) -> impl Iterator<Item = &'a Job> {
     let jobs = context.jobs.table.iter().map(|(_, job)| job);
-    jobs.filter(|job| job.live())
+    jobs.filter(|job| job.is_active())
 }
 
 fn demand_by_team(context: &FleetContext) -> BTreeMap<ClassOfTeam, TaskDemand> {
@@ -123,10 +123,10 @@
 fn demand_of_job(job: &Job, boot_s: f64, wall_clock: Millis) -> TaskDemand {
     // A job that keeps failing must not get machines for all its tasks,
     // but it is tried again, so it needs one.
-    let waiting = if job.fails_everywhere() {
-        job.waiting().min(1)
+    let waiting = if job.is_likely_mistaken() {
+        job.waiting_tasks().min(1)
     } else {
-        job.waiting()
+        job.waiting_tasks()
     };
     let tasks = f64::from(waiting) + job.open.len() as f64;
     // By the time a new machine is up, short tasks are over, or have
--- a/src/persistence/pending_writes.rs
+++ b/src/persistence/pending_writes.rs
@@ -10,19 +10,19 @@
 #[derive(Debug, Default)]
 pub struct PendingWrites {
     /// Chunks with attempts that start once they are written.
-    pub(crate) starts: BTreeSet<ChunkId>,
+    pub(super) starts: BTreeSet<ChunkId>,
     /// Chunks in which something else has changed.
-    pub(crate) chunks: BTreeSet<ChunkId>,
+    pub(super) chunks: BTreeSet<ChunkId>,
     /// Jobs whose last task is done.
-    pub(crate) finished: BTreeSet<JobIx>,
+    pub(super) finished: BTreeSet<JobIx>,
     /// Ended jobs none of whose attempts is open: their keys can go.
-    pub(crate) cleanups: BTreeSet<JobIx>,
+    pub(super) cleanups: BTreeSet<JobIx>,
     /// Machine requests that are sent once they are written.
-    pub(crate) machine_requests: VecDeque<MachineRequestRecord>,
+    pub(super) machine_requests: VecDeque<MachineRequestRecord>,
     /// Machine requests whose keys can go.
-    pub(crate) settled: VecDeque<AnsweredRequest>,
+    pub(super) settled: VecDeque<AnsweredRequest>,
     /// The transaction in flight, if there is one.
-    pub(crate) in_flight: Option<InFlight>,
+    pub(super) in_flight: Option<InFlight>,
 }
 
 impl PendingWrites {
@@ -31,6 +31,11 @@
         self.starts.insert(chunk);
     }
 
+    /// These chunks have attempts that start once they are written.
+    pub fn queue_starts(&mut self, chunks: impl IntoIterator<Item = ChunkId>) {
+        self.starts.extend(chunks);
+    }
+
     /// A chunk has changed in a way that nothing waits for.
     pub fn queue_chunk(&mut self, chunk: ChunkId) {
         self.chunks.insert(chunk);
@@ -62,8 +67,8 @@
     }
 
     /// The machine requests that are not in a transaction yet.
-    pub fn machine_requests(&self) -> impl Iterator<Item = &MachineRequestRecord> {
-        self.machine_requests.iter()
+    pub fn machine_requests(&self) -> &VecDeque<MachineRequestRecord> {
+        &self.machine_requests
     }
 
     /// Whether a chunk is due to be written, urgently or not.
@@ -76,6 +81,12 @@
         self.cleanups.contains(&job)
     }
 
+    /// Whether anything is due to be written of any job.
+    pub fn has_changes_of_jobs(&self) -> bool {
+        let has_chunks = !self.starts.is_empty() || !self.chunks.is_empty();
+        has_chunks || !self.finished.is_empty() || !self.cleanups.is_empty()
+    }
+
     /// Whether work or users wait for something to be written.
     pub fn is_urgent(&self) -> bool {
         !(self.starts.is_empty() && self.finished.is_empty() && self.machine_requests.is_empty())
--- a/src/pipeline/chunk.rs
+++ b/src/pipeline/chunk.rs
@@ -64,6 +64,19 @@
     pub open: Vec<OpenRecord>,
 }
 
+/// How the key of a chunk stands to what the leader knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WriteState {
+    /// The key says all.
+    Written,
+    /// Changed since its last write was built.
+    Changed,
+    /// In the transaction in flight.
+    InFlight,
+    /// In the transaction in flight, and changed since that was built.
+    ChangedInFlight,
+}
+
 /// What the leader knows of a chunk's key.
 #[derive(Clone, Debug)]
 pub struct Chunk {
@@ -71,12 +84,9 @@
     pub version: u64,
     /// The next attempt number.
     pub next: u64,
-    /// Changed since its last write was built.
-    pub dirty: bool,
-    /// In the transaction now in flight.
-    pub writing: bool,
+    state: WriteState,
     /// When its last write was built.
-    pub drafted_at: Millis,
+    built_at: Millis,
 }
 
 impl Chunk {
@@ -85,49 +95,55 @@
         Chunk {
             version: 0,
             next: 1,
-            dirty: false,
-            writing: false,
-            drafted_at: 0,
+            state: WriteState::Written,
+            built_at: 0,
         }
     }
 
     /// Whether its key says all that the leader knows of it.
     pub fn is_written(&self) -> bool {
-        !self.dirty && !self.writing
+        self.state == WriteState::Written
     }
 
-    /// The former name of [`Chunk::is_written`], until its callers use that.
-    pub fn written(&self) -> bool {
-        self.is_written()
+    /// When its last write was built.
+    pub fn built_at(&self) -> Millis {
+        self.built_at
     }
 
     /// Something changed that its key does not say.
     pub fn mark_changed(&mut self) {
-        self.dirty = true;
+        self.state = match self.state {
+            WriteState::Written | WriteState::Changed => WriteState::Changed,
+            WriteState::InFlight | WriteState::ChangedInFlight => WriteState::ChangedInFlight,
+        };
+    }
+
+    /// Its changes need not be written: another key says all there is to say.
+    pub fn discard_changes(&mut self) {
+        self.state = match self.state {
+            WriteState::Written | WriteState::Changed => WriteState::Written,
+            WriteState::InFlight | WriteState::ChangedInFlight => WriteState::InFlight,
+        };
     }
 
     /// Its value goes into the transaction that is built now.
     pub fn write_started(&mut self, now: Millis) {
-        self.dirty = false;
-        self.writing = true;
-        self.drafted_at = now;
+        self.state = WriteState::InFlight;
+        self.built_at = now;
     }
 
     /// The transaction with its value was applied.
     pub fn write_committed(&mut self, version: u64) {
         self.version = version;
-        self.writing = false;
+        self.state = match self.state {
+            WriteState::Written | WriteState::InFlight => WriteState::Written,
+            WriteState::Changed | WriteState::ChangedInFlight => WriteState::Changed,
+        };
     }
 
     /// The transaction with its value was not applied.
     pub fn write_failed(&mut self) {
-        self.writing = false;
-        self.dirty = true;
-    }
-
-    /// Its changes need not be written: another key says all there is to say.
-    pub fn discard_changes(&mut self) {
-        self.dirty = false;
+        self.state = WriteState::Changed;
     }
 }
 
--- a/src/pipeline/jobs.rs
+++ b/src/pipeline/jobs.rs
@@ -27,7 +27,7 @@
     /// Tasks that are kept under one key.
     pub chunk_tasks: u32,
     /// Jobs whose keys were seen to be gone.
-    pub deleted_jobs: Vec<String>,
+    deleted_jobs: Vec<String>,
 }
 
 impl Jobs {
--- a/src/placement/opening.rs
+++ b/src/placement/opening.rs
@@ -47,15 +47,15 @@
     let chunk = &mut job.chunks[chunk_number];
     let number = chunk.next;
     chunk.next += 1;
-    chunk.dirty = true;
+    chunk.mark_changed();
     number
 }
 
 /// Takes a task from those that wait.
 fn take_task(job: &mut Job, task: u32, wall_clock: Millis) {
-    job.take(task);
+    job.task_placed(task);
     job.last_start_ms = wall_clock;
-    if job.waiting() == 0 {
+    if job.waiting_tasks() == 0 {
         job.short_since = None;
         job.waiting_until = None;
     }
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -13,7 +13,7 @@
 
 /// Live jobs none of whose tasks was placed for long, the oldest first.
 pub fn starving_jobs(jobs: &Jobs, wall_clock: Millis) -> Vec<JobIx> {
-    let starving = jobs.table.iter().filter(|(_, job)| job.starving(wall_clock));
+    let starving = jobs.table.iter().filter(|(_, job)| job.is_starving(wall_clock));
     let mut by_arrival: Vec<_> = starving.map(|(ix, job)| (job.accepted_ms, ix)).collect();
     by_arrival.sort_unstable();
     by_arrival.into_iter().map(|(_, ix)| ix).collect()
@@ -22,7 +22,10 @@
 /// Live jobs with tasks to place, in the order in which they are served.
 pub fn placement_order(jobs: &Jobs, wall_clock: Millis) -> Vec<JobIx> {
     let guaranteed = guaranteed_jobs(jobs);
-    let to_place = jobs.table.iter().filter(|(_, job)| job.live() && job.waiting() > 0);
+    let to_place = jobs
+        .table
+        .iter()
+        .filter(|(_, job)| job.is_active() && job.waiting_tasks() > 0);
     let mut ranked: Vec<(Rank, JobIx)> = to_place
         .map(|(ix, job)| (Rank::new(job, guaranteed.contains(&ix), wall_clock), ix))
         .collect();
@@ -45,7 +48,7 @@
 
 impl Rank {
     fn new(job: &Job, guaranteed: bool, wall_clock: Millis) -> Rank {
-        let old = job.old(wall_clock);
+        let old = job.goes_first_by_age(wall_clock);
         Rank {
             beyond_guarantee: !old && !guaranteed,
             priority: Reverse(if old { Priority::Production } else { job.priority() }),
@@ -58,7 +61,7 @@
 /// Jobs that fit into their team's guarantee along with the team's earlier
 /// unfinished jobs: these need not wait for other teams.
 fn guaranteed_jobs(jobs: &Jobs) -> BTreeSet<JobIx> {
-    let live = jobs.table.iter().filter(|(_, job)| job.live());
+    let live = jobs.table.iter().filter(|(_, job)| job.is_active());
     let mut by_arrival: Vec<(Millis, JobIx)> = live.map(|(ix, job)| (job.accepted_ms, ix)).collect();
     by_arrival.sort_unstable();
     let mut used = vec![Resources::default(); jobs.team_quotas.len()];
--- a/src/placement/preemption/candidates.rs
+++ b/src/placement/preemption/candidates.rs
@@ -125,7 +125,7 @@
     fn gives_way(&self, job: &Job) -> bool {
         Some(job.priority()) < self.highest_priority
             && job.spec.deadline_s.is_none()
-            && job.has_slack(self.cluster.now.wall_clock)
+            && job.can_restart_in_time(self.cluster.now.wall_clock)
     }
 
     /// CPU seconds lost by stopping a task now. `None`: too much, or not worth it.
--- a/src/placement/preemption/mod.rs
+++ b/src/placement/preemption/mod.rs
@@ -106,7 +106,7 @@
     for job in outranking {
         let team = &mut teams[job.team.usize()];
         let mut tasks = 0;
-        while tasks < job.waiting() && team.allows(job.shape.resources) {
+        while tasks < job.waiting_tasks() && team.allows(job.shape.resources) {
             team.used.add(job.shape.resources);
             tasks += 1;
         }
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -48,7 +48,7 @@
 
 impl Urgency {
     fn new(job: &Job, turn: Turn, wall_clock: Millis) -> Urgency {
-        if turn == Turn::Starving || job.old(wall_clock) {
+        if turn == Turn::Starving || job.goes_first_by_age(wall_clock) {
             Urgency::Pressing
         } else {
             Urgency::Normal
@@ -146,11 +146,11 @@
     fn next_task(&mut self, job_ix: JobIx, turn: Turn) -> Option<NextTask> {
         let now = self.context.now;
         let job = self.context.jobs.table.get_mut(job_ix)?;
-        if job.fails_everywhere() && !job.open.is_empty() {
+        if job.is_likely_mistaken() && !job.open.is_empty() {
             // Tried again one task at a time, for as long as its user lets it.
             return None;
         }
-        let task = job.peek(now.monotonic)?;
+        let task = job.next_task(now.monotonic)?;
         Some(NextTask {
             job: job_ix,
             task,
@@ -224,7 +224,7 @@
 
     fn found_no_room(&mut self, next: &NextTask) {
         if let Some(job) = self.context.jobs.table.get_mut(next.job) {
-            job.forgive(self.context.now.monotonic);
+            job.stop_avoiding_if_short(self.context.now.monotonic);
             // Small tasks would fill for ever what it needs whole.
             if next.urgency == Urgency::Pressing {
                 self.view.reserve(&job.shape);
--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -46,7 +46,7 @@
         else {
             return;
         };
-        if job.fails_everywhere() {
+        if job.is_likely_mistaken() {
             job.errors += 1;
             return;
         }
@@ -62,7 +62,7 @@
         } else if counts_against_job {
             job.errors += 1;
         }
-        if job.fails_everywhere() {
+        if job.is_likely_mistaken() {
             self.clear_failures_of(attempt.job);
         }
     }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -119,5 +119,5 @@
         return true;
     }
     let chunk = job.chunk_of(number, jobs.chunk_tasks);
-    !job.complete() && job.chunks.get(chunk).is_none_or(|chunk| chunk.written())
+    !job.is_complete() && job.chunks.get(chunk).is_none_or(|chunk| chunk.is_written())
 }
