--- a/src/controller/shard/scaling.rs
+++ b/src/controller/shard/scaling.rs
@@ -14,7 +14,8 @@
         }
         self.decommission_failed(now);
         let (fleet, context) = self.fleet_and_context(now);
-        let plan = fleet.plan(&context);
+        let needs = fleet.update_forecast(&context);
+        let plan = fleet.plan_scaling(&context, &needs);
         for request in plan.machine_requests {
             self.pending_writes.queue_machine_request(request);
         }
--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::fleet::{CapacityNeed, OfferSearch, PurchaseScope};
+use crate::fleet::demand::CapacityNeed;
+use crate::fleet::offers::{OfferSearch, PurchaseScope};
 use crate::ids::MachineIx;
 use crate::topology::Offer;
 use std::collections::BTreeSet;
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -7,11 +7,11 @@
 mod boot;
 mod cloud_calls;
 mod context;
-mod demand;
+pub(crate) mod demand;
 mod forecast;
 mod health;
 mod inventory;
-mod offers;
+pub(crate) mod offers;
 mod planned;
 mod provision;
 
@@ -24,16 +24,11 @@
 use crate::Millis;
 use crate::ids::ZoneIx;
 use crate::topology::Offer;
+use demand::CapacityNeed;
 use forecast::Forecast;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-#[cfg(test)]
-pub(crate) use {
-    demand::CapacityNeed,
-    offers::{OfferSearch, PurchaseScope},
-};
-
 const PLAN_EVERY_MS: Millis = 1_000;
 /// The cloud's list is read again this long after its end.
 pub(crate) const LIST_EVERY_MS: Millis = 3_000;
@@ -94,15 +89,8 @@
         is_due
     }
 
-    /// The forecast of the demand, with a sample of what is wanted now, and the machines
-    /// to be asked for and to be decommissioned for it.
-    pub fn plan(&mut self, context: &FleetContext) -> ScalingPlan {
-        let needs = self.forecast.update(context);
-        self.plan_scaling(context, needs)
-    }
-
-    /// Tasks of each class to be ready for.
-    #[cfg(test)]
+    /// Adds a sample of what is wanted now to the forecast; gives the tasks of each class
+    /// to be ready for.
     pub(crate) fn update_forecast(&mut self, context: &FleetContext) -> Vec<CapacityNeed> {
         self.forecast.update(context)
     }
--- a/src/fleet/offers.rs
+++ b/src/fleet/offers.rs
@@ -18,10 +18,19 @@
 /// An offer, and how many of the tasks one of its machines takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OfferChoice {
+    /// What to buy.
     pub offer: Offer,
+    /// How many of the needed tasks one machine has room for.
     pub tasks_per_machine: u32,
 }
 
+/// An offer and what one of its machines costs.
+#[derive(Clone, Copy, Debug)]
+struct PricedOffer {
+    offer: Offer,
+    price: f64,
+}
+
 /// What makes one offer better than another: the least is the best.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct OfferRank {
@@ -73,7 +82,7 @@
             if tasks_per_machine == 0 {
                 continue;
             }
-            for (offer, price) in self.offers_of(TypeIx::from_usize(type_ix), info, need, scope) {
+            for PricedOffer { offer, price } in self.offers_of(TypeIx::from_usize(type_ix), info, need, scope) {
                 let rank = OfferRank {
                     overdue: self.overdue_offers.contains(&offer),
                     cost_per_task: price / f64::from(tasks_per_machine.min(tasks_left)),
@@ -99,7 +108,7 @@
         info: &TypeInfo,
         need: &CapacityNeed,
         scope: PurchaseScope,
-    ) -> impl Iterator<Item = (Offer, f64)> {
+    ) -> impl Iterator<Item = PricedOffer> {
         let on_demand = scope == PurchaseScope::SpotOrOnDemand || !need.shape.spot;
         let zones = info.zones.iter().copied();
         // New ones in a silent zone could not be reached either.
@@ -115,6 +124,9 @@
             .filter(move |offer| offer.market() == Market::Spot || on_demand)
             .filter(move |offer| need.shape.allows(offer.type_ix, offer.zone, offer.spot))
             .filter(move |offer| !self.fleet.is_refused(*offer, self.context.now))
-            .filter_map(move |offer| Some((offer, info.price_in(offer.market())?)))
+            .filter_map(move |offer| {
+                let price = info.price_in(offer.market())?;
+                Some(PricedOffer { offer, price })
+            })
     }
 }
--- a/src/fleet/provision.rs
+++ b/src/fleet/provision.rs
@@ -30,9 +30,9 @@
 impl Fleet {
     /// Packs the forecast into the machines there are and on their way; scales out
     /// for what is left over and scales in what stays unused.
-    pub(crate) fn plan_scaling(&mut self, context: &FleetContext, needs: Vec<CapacityNeed>) -> ScalingPlan {
+    pub(crate) fn plan_scaling(&mut self, context: &FleetContext, needs: &[CapacityNeed]) -> ScalingPlan {
         let mut machines = self.planned_machines(context);
-        let purchases = self.choose_purchases(context, &needs, &mut machines);
+        let purchases = self.choose_purchases(context, needs, &mut machines);
         ScalingPlan {
             machine_requests: self.request_machines(context, purchases),
             idle_machines: idle_machines(context, &machines),
