--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -41,7 +41,7 @@
     fn release_in_job_and_team(&mut self, attempt: &Attempt) -> Option<Resources> {
         let job = self.jobs.table.get_mut(attempt.job)?;
         let resources = job.shape.resources;
-        self.jobs.team_quotas[job.team.usize()].used.take(resources);
+        self.jobs.team_quotas[job.team.usize()].used.subtract(resources);
         job.open.remove(&attempt.task);
         Some(resources)
     }
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -33,6 +33,7 @@
     pub workers: Workers,
     pub fleet: Fleet,
     pub pending_writes: PendingWrites,
+    /// Chooses the tasks that have to make room for others.
     pub preemptor: Preemptor,
 }
 
--- a/src/fleet/offers.rs
+++ b/src/fleet/offers.rs
@@ -78,7 +78,7 @@
             let Some(info) = info else {
                 continue;
             };
-            let tasks_per_machine = info.resources.count(need.shape.resources);
+            let tasks_per_machine = info.resources.capacity_for(need.shape.resources);
             if tasks_per_machine == 0 {
                 continue;
             }
--- a/src/fleet/planned.rs
+++ b/src/fleet/planned.rs
@@ -28,9 +28,9 @@
 impl PlannedMachine {
     /// Takes room for at most `most` tasks; gives how many it has room for.
     pub(super) fn take(&mut self, task: Resources, most: u32) -> u32 {
-        let count = self.free.count(task).min(most);
+        let count = self.free.capacity_for(task).min(most);
         for _ in 0..count {
-            self.free.take(task);
+            self.free.subtract(task);
         }
         self.is_used |= count > 0;
         count
--- a/src/placement/machine_view/mod.rs
+++ b/src/placement/machine_view/mod.rs
@@ -154,7 +154,7 @@
     /// Gives room of a slot to a task, and its machine the task's image.
     pub fn assign(&mut self, slot: usize, resources: Resources, image: ImageIx) {
         self.image_caches.add(image, slot);
-        self.slots[slot].free.take(resources);
+        self.slots[slot].free.subtract(resources);
     }
 
     /// Reserves the roomiest slot that the shape may use: it is kept from everybody
--- a/src/placement/machine_view/slot.rs
+++ b/src/placement/machine_view/slot.rs
@@ -28,7 +28,7 @@
             zone: machine.zone,
             spot: machine.spot,
             type_cpus: info.resources.cpus,
-            free: info.resources.minus(machine.used),
+            free: info.resources.saturating_sub(machine.used),
             reserved: false,
         }
     }
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -103,7 +103,7 @@
         let info = fixture.topology.type_info[machine.type_ix.usize()]
             .as_ref()
             .expect("known");
-        let free = info.resources.minus(machine.used);
+        let free = info.resources.saturating_sub(machine.used);
         if !machine.usable(0) || !job.shape.allows(machine.type_ix, machine.zone, machine.spot) {
             continue;
         }
@@ -123,7 +123,7 @@
             .as_ref()
             .expect("known");
         let allowed = job.shape.allows(machine.type_ix, machine.zone, machine.spot);
-        allowed && machine.holds(job.image) && !info.resources.minus(machine.used).fits(job.shape.resources)
+        allowed && machine.holds(job.image) && !info.resources.saturating_sub(machine.used).fits(job.shape.resources)
     })
 }
 
--- a/src/placement/preemption/candidates.rs
+++ b/src/placement/preemption/candidates.rs
@@ -162,7 +162,7 @@
                     zone: machine.zone,
                     spot: machine.spot,
                     images: machine.images.iter().map(|&(image, _)| image).collect(),
-                    free: info.resources.minus(machine.used),
+                    free: info.resources.saturating_sub(machine.used),
                     victims: Vec::new(),
                 }))
             }
--- a/src/placement/preemption/demand.rs
+++ b/src/placement/preemption/demand.rs
@@ -99,7 +99,7 @@
 
     /// Takes room for one task, which has to be free.
     fn place_on(&mut self, candidate: &mut Candidate) {
-        candidate.free.take(self.shape.resources);
+        candidate.free.subtract(self.shape.resources);
         self.unplaced_tasks -= 1;
         if self.one_zone {
             self.zones = Some(vec![candidate.zone]);
--- a/src/placement/preemption/victims/tests.rs
+++ b/src/placement/preemption/victims/tests.rs
@@ -93,7 +93,7 @@
                 .iter_mut()
                 .find(|candidate| candidate.free.fits(resources(cpus)))
             {
-                Some(candidate) => candidate.free.take(resources(cpus)),
+                Some(candidate) => candidate.free.subtract(resources(cpus)),
                 None => short.push(cpus),
             }
         }
@@ -123,7 +123,7 @@
             candidate.free.add(victim.resources);
             stops.push(victim.attempt);
         }
-        candidate.free.take(resources(cpus));
+        candidate.free.subtract(resources(cpus));
     }
     stops
 }
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -1,20 +1,26 @@
-//! What tasks ask for: amounts of processors, memory and cards, and the machines that
-//! they may run on.
+//! What tasks ask for: amounts of CPUs, GPUs and memory, and the machines that they may
+//! run on.
 
 use crate::ids::{TypeIx, ZoneIx};
 
-/// What a task takes of its machine, or a machine offers.
+/// Amounts are sums of floating-point numbers: a task fits if it lacks no more than this.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+/// The most tasks that are counted to fit into one amount of resources.
+const MAX_CAPACITY: f64 = 100_000.0;
+
+/// Amounts of resources: what a task takes of its machine, or a machine offers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
+    /// CPU cores.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
-const SLACK: f64 = 1e-6;
-
 impl Resources {
-    /// Processors and cards only, as the limits of teams count them.
+    /// CPUs and GPUs only, as the quotas of teams count them.
     pub fn without_memory(cpus: f64, gpus: f64) -> Resources {
         Resources {
             cpus,
@@ -23,61 +29,71 @@
         }
     }
 
+    /// Adds each amount.
     pub fn add(&mut self, other: Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    pub fn take(&mut self, other: Resources) {
+    /// Subtracts each amount; none falls below zero.
+    pub fn subtract(&mut self, other: Resources) {
         self.cpus = (self.cpus - other.cpus).max(0.0);
         self.gpus = (self.gpus - other.gpus).max(0.0);
         self.memory_gb = (self.memory_gb - other.memory_gb).max(0.0);
     }
 
-    pub fn minus(mut self, other: Resources) -> Resources {
-        self.take(other);
+    /// What is left after `other` is subtracted; no amount falls below zero.
+    pub fn saturating_sub(mut self, other: Resources) -> Resources {
+        self.subtract(other);
         self
     }
 
+    /// Whether `other` fits into these amounts.
     pub fn fits(&self, other: Resources) -> bool {
-        other.cpus <= self.cpus + SLACK && other.gpus <= self.gpus + SLACK && other.memory_gb <= self.memory_gb + SLACK
+        let fits = |available: f64, needed: f64| needed <= available + ROUNDING_TOLERANCE;
+        fits(self.cpus, other.cpus) && fits(self.gpus, other.gpus) && fits(self.memory_gb, other.memory_gb)
     }
 
-    /// How many of `other` fit.
-    pub fn count(&self, other: Resources) -> u32 {
-        let part = |have: f64, need: f64| {
-            if need <= 0.0 {
+    /// How many tasks that each take `task` fit into these amounts at once.
+    pub fn capacity_for(&self, task: Resources) -> u32 {
+        let times = |available: f64, needed: f64| {
+            if needed <= 0.0 {
                 f64::from(u32::MAX)
             } else {
-                ((have + SLACK) / need).floor()
+                ((available + ROUNDING_TOLERANCE) / needed).floor()
             }
         };
-        let count = part(self.cpus, other.cpus)
-            .min(part(self.gpus, other.gpus))
-            .min(part(self.memory_gb, other.memory_gb));
-        count.clamp(0.0, 100_000.0) as u32
+        let tasks = times(self.cpus, task.cpus)
+            .min(times(self.gpus, task.gpus))
+            .min(times(self.memory_gb, task.memory_gb));
+        tasks.clamp(0.0, MAX_CAPACITY) as u32
     }
 }
 
-/// What a task takes and which machines it may be on.
+/// What a task takes and which machines it may run on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shape {
+    /// What the task takes of its machine.
     pub resources: Resources,
-    /// `None` for any.
+    /// Machine types that it may run on. `None`: any.
     pub types: Option<Vec<TypeIx>>,
+    /// The only zone that it may run in. `None`: any.
     pub zone: Option<ZoneIx>,
+    /// Whether it may run on spot machines.
     pub spot: bool,
 }
 
 impl Shape {
+    /// Whether the task may run on a machine of this type, in this zone, that is
+    /// rented as a spot machine or not.
     pub fn allows(&self, type_ix: TypeIx, zone: ZoneIx, spot: bool) -> bool {
         (self.spot || !spot)
             && self.types.as_ref().is_none_or(|types| types.contains(&type_ix))
             && self.zone.is_none_or(|only| only == zone)
     }
 
-    /// Whether both may be on the same machines, whatever they take there.
+    /// Whether both may run on the same machines, whatever they take there.
     pub fn allows_same_machines(&self, other: &Shape) -> bool {
         (&self.types, self.zone, self.spot) == (&other.types, other.zone, other.spot)
     }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -188,7 +188,7 @@
     /// An attempt on it is over: what that took is free again.
     pub fn release(&mut self, now: Millis, attempt: AttemptIx, resources: Resources) {
         self.open.retain(|&other| other != attempt);
-        self.used.take(resources);
+        self.used.subtract(resources);
         if self.open.is_empty() {
             // Exactly nothing, whatever the rounding of the sums has left.
             self.used = Resources::default();
