--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -14,6 +14,7 @@
 const CLAIM_RETRY_MS: Millis = 500;
 
 impl Controller {
+    /// The claim in the watch cache changed. One of a higher term ends ours.
     pub(super) fn leader_changed(&mut self) {
         let Some((leader, version)) = &self.watch_cache.leader else {
             return;
@@ -24,6 +25,7 @@
         }
     }
 
+    /// Gives up the shard, and claims no sooner than after this delay.
     pub(super) fn step_down(&mut self, claim_delay: Millis) {
         self.election.step_down(self.now, claim_delay);
         self.shard = None;
@@ -39,6 +41,7 @@
         self.store_client.forget_term();
     }
 
+    /// The lease was granted: the claim follows.
     pub(super) fn on_lease_granted(&mut self, reply: StoreReply) {
         if self.election.phase() != Phase::RequestingLease {
             return;
@@ -75,6 +78,7 @@
         }
     }
 
+    /// The claim was carried out.
     fn claimed(&mut self, version: u64) {
         self.election.claimed(version);
         self.leader_timers.claimed(self.now);
@@ -86,6 +90,7 @@
         }
     }
 
+    /// Begins anew with an empty shard, and reads everything.
     fn start_loading(&mut self) {
         self.load_progress.start(self.now);
         self.leader_timers.worker_heard(self.now);
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,36 +1,38 @@
 use super::*;
 use crate::Millis;
 use crate::election::Phase;
-use crate::peers::{Message, UserRequest};
+use crate::peers::{CancelledJob, Message, UserRequest};
 use crate::settings::tests::SAMPLE;
-use crate::store::{StoreReply, StoreRequest};
-use crate::wire::{JobSpec, Transaction};
+use crate::store::{JobKey, StoreReply, StoreRequest};
+use crate::wire::{Entry, JobSpec, Page, Transaction};
 
-/// Numbers of what a life of a controller asks peers first.
-fn asked(incarnation: u64) -> (u64, u64) {
-    let settings = Settings::parse(SAMPLE).expect("valid settings");
-    let node = settings.peers[0].node.clone();
-    let mut controller = Controller::new(settings, Policy::default(), incarnation);
-    let now = Now {
-        monotonic: 1_000_000,
+fn at(monotonic: Millis) -> Now {
+    Now {
+        monotonic,
         wall_clock: 0,
-    };
-    let beat = Message::Heartbeat {
-        node: node.clone(),
+    }
+}
+
+fn heartbeat(node: &str, leading_term: Option<u64>) -> Message {
+    Message::Heartbeat {
+        node: node.into(),
         shard: SHARD.into(),
-        leading_term: Some(3),
+        leading_term,
         store_reachable: true,
-    };
-    let message = Box::new(beat);
+    }
+}
+
+/// Numbers of what an incarnation of a controller asks first: services, and peers.
+fn first_ids(incarnation: u64) -> (u64, u64) {
+    let settings = Settings::parse(SAMPLE).expect("valid settings");
+    let node = settings.peers[0].node.clone();
+    let mut controller = Controller::new(settings, Policy::default(), incarnation);
+    let now = at(1_000_000);
+    let message = Box::new(heartbeat(&node, Some(3)));
     controller.step(now, Input::Peer { message, node });
     let user_request = UserRequest::Cancel("j-000001".into());
-    let outputs = controller.step(
-        now,
-        Input::User {
-            request: 1,
-            user_request,
-        },
-    );
+    let request = 1;
+    let outputs = controller.step(now, Input::User { request, user_request });
     let forward = outputs.iter().find_map(|output| match output {
         Output::Peer {
             message: Message::ForwardRequest { id, .. },
@@ -41,69 +43,91 @@
     (controller.call(), forward.expect("forwarded to the leader"))
 }
 
+/// A state service that answers a new leader's first pages slowly.
+struct SlowStore {
+    pages_left: i32,
+    due: Vec<DueReply>,
+}
+
+struct DueReply {
+    at: Millis,
+    call: u64,
+    reply: StoreReply,
+}
+
+const SLOW_MS: Millis = 2_500;
+
+impl SlowStore {
+    /// Takes out the replies that are due.
+    fn take_due(&mut self, monotonic: Millis) -> Vec<DueReply> {
+        let all = std::mem::take(&mut self.due);
+        let (ready, later) = all.into_iter().partition(|due| due.at <= monotonic);
+        self.due = later;
+        ready
+    }
+
+    fn receive(&mut self, monotonic: Millis, call: u64, request: StoreRequest) {
+        let (after, reply) = match request {
+            StoreRequest::Grant { .. } => (10, StoreReply::Granted { lease: 1 }),
+            StoreRequest::Renew(_) => (10, StoreReply::Renewed),
+            StoreRequest::Transact(_) => (10, StoreReply::Committed { revision: 2 }),
+            StoreRequest::List { prefix, .. } if prefix.starts_with("live/") => (10, page(prefix, false)),
+            StoreRequest::List { prefix, .. } => {
+                self.pages_left -= i32::from(self.pages_left > 0);
+                let more = self.pages_left > 0;
+                (SLOW_MS, page(format!("{prefix}{}", self.pages_left), more))
+            }
+            StoreRequest::Watch { wait_ms: 0, .. } => (10, empty_log()),
+            _ => return,
+        };
+        let at = monotonic + after;
+        self.due.push(DueReply { at, call, reply });
+    }
+}
+
+fn page(key: String, more: bool) -> StoreReply {
+    let value = serde_json::json!({ "machines": [] });
+    let item = Entry { key, value, version: 1 };
+    let items = if more { vec![item] } else { Vec::new() };
+    StoreReply::Page(Page {
+        items,
+        more,
+        revision: 1,
+    })
+}
+
+fn empty_log() -> StoreReply {
+    StoreReply::Log(crate::wire::Log {
+        revision: 2,
+        events: Vec::new(),
+    })
+}
+
 /// Guards against beginning to load anew for ever: a full store that answers
 /// slowly takes longer than any fixed time.
 #[test]
 fn loading_goes_on_as_long_as_answers_come() {
-    const SLOW_MS: Millis = 2_500;
     let settings = Settings::parse(SAMPLE).expect("valid settings");
     let node = settings.peers[0].node.clone();
-    let beat = Message::Heartbeat {
-        node: node.clone(),
-        shard: SHARD.into(),
-        leading_term: None,
-        store_reachable: true,
-    };
     let mut controller = Controller::new(settings, Policy::default(), 7);
     let mut monotonic = 1_000_000;
-    let mut pages = 3;
-    let mut due: Vec<(Millis, u64, StoreReply)> = Vec::new();
+    let mut store = SlowStore {
+        pages_left: 3,
+        due: Vec::new(),
+    };
     while monotonic < 1_030_000 && !controller.leads() {
-        let now = Now {
-            monotonic,
-            wall_clock: 0,
-        };
-        let (node, message) = (node.clone(), Box::new(beat.clone()));
+        let now = at(monotonic);
+        let message = Box::new(heartbeat(&node, None));
+        let node = node.clone();
         let mut outputs = controller.step(now, Input::Peer { node, message });
         outputs.extend(controller.step(now, Input::Tick));
-        let (ready, later): (Vec<_>, Vec<_>) = due.into_iter().partition(|(at, ..)| *at <= monotonic);
-        due = later;
-        for (_, call, reply) in ready {
+        for DueReply { call, reply, .. } in store.take_due(monotonic) {
             outputs.extend(controller.step(now, Input::Store { call, reply }));
         }
         for output in outputs {
-            let Output::Store { call, request } = output else {
-                continue;
-            };
-            let page = |key: String, more| {
-                let value = serde_json::json!({ "machines": [] });
-                let item = crate::wire::Entry { key, value, version: 1 };
-                let items = if more { vec![item] } else { Vec::new() };
-                StoreReply::Page(crate::wire::Page {
-                    items,
-                    more,
-                    revision: 1,
-                })
-            };
-            let (after, reply) = match request {
-                StoreRequest::Grant { .. } => (10, StoreReply::Granted { lease: 1 }),
-                StoreRequest::Renew(_) => (10, StoreReply::Renewed),
-                StoreRequest::Transact(_) => (10, StoreReply::Committed { revision: 2 }),
-                StoreRequest::List { prefix, .. } if prefix.starts_with("live/") => (10, page(prefix, false)),
-                StoreRequest::List { prefix, .. } => {
-                    pages -= i32::from(pages > 0);
-                    (SLOW_MS, page(format!("{prefix}{pages}"), pages > 0))
-                }
-                StoreRequest::Watch { wait_ms: 0, .. } => {
-                    let log = crate::wire::Log {
-                        revision: 2,
-                        events: Vec::new(),
-                    };
-                    (10, StoreReply::Log(log))
-                }
-                _ => continue,
-            };
-            due.push((monotonic + after, call, reply));
+            if let Output::Store { call, request } = output {
+                store.receive(monotonic, call, request);
+            }
         }
         monotonic += 50;
     }
@@ -115,108 +139,108 @@
 /// about another job or machine, for one to this incarnation.
 #[test]
 fn an_answer_to_a_former_life_fits_no_request() {
-    let (first, second) = (asked(0x1000_0000_0000), asked(0x2000_0000_0000));
+    let (first, second) = (first_ids(0x1000_0000_0000), first_ids(0x2000_0000_0000));
     assert!(first.0.abs_diff(second.0) > 1 << 32);
     assert!(first.1.abs_diff(second.1) > 1 << 32);
 }
 
-/// Guards against the gap: the state service refuses the leader alone, another
-/// controller confirms a cancellation, and then nobody reaches it. With its
-/// promise not to claim a controller tells the leader of what was cancelled; while
-/// it can still confirm cancellations it promises nothing.
-#[test]
-fn a_promise_tells_of_what_was_cancelled() {
-    let settings = Settings::parse(SAMPLE).expect("valid settings");
-    let node = settings.peers[0].node.clone();
+fn cancelled_job() -> JobKey {
     let spec: JobSpec = serde_json::from_value(serde_json::json!({"id":"j-7","lotType":"sort","consignor":"floor",
         "saleFormat":"array","bidRank":"high","lots":1,"cores":1.0,"cards":0.0,"memGb":1.0,"catalog":"img",
         "pullGb":1.0,"oneZone":false,"scatter":false,"loaner":true,"appraisedS":5.0,"tallyS":0.0,"ledgerS":0.0}))
     .expect("a job");
-    let key = crate::store::JobKey {
+    JobKey {
         spec,
         accepted_ms: 0,
         ended: Some(crate::wire::JobState::Cancelled),
-    };
-    let mut controller = Controller::new(settings, Policy::default(), 7);
-    let mut monotonic = 1_000_000;
-    let mut step = |controller: &mut Controller, input| {
-        monotonic += 10;
-        controller.step(
-            Now {
-                monotonic,
-                wall_clock: 0,
-            },
-            input,
-        )
-    };
-    let item = crate::wire::Entry {
+    }
+}
+
+/// The watched keys: this job, and a claim by that node.
+fn watched_page(key: &JobKey, node: &str) -> StoreReply {
+    let job = Entry {
         key: "live/pool/job/j-7".into(),
         value: serde_json::json!(key),
         version: 9,
     };
-    let leader = crate::wire::Entry {
+    let leader = Entry {
         key: "live/pool/owner".into(),
         value: serde_json::json!({"node": node, "life": 1, "term": 3}),
         version: 4,
     };
-    let page = StoreReply::Page(crate::wire::Page {
-        items: vec![item, leader],
+    StoreReply::Page(Page {
+        items: vec![job, leader],
         more: false,
         revision: 9,
-    });
-    let call = |outputs: &[Output]| {
-        let calls = outputs.iter().filter_map(|output| match output {
-            Output::Store { call, .. } => Some(*call),
-            _ => None,
-        });
-        calls.max().expect("asked")
-    };
-    let hold = |watch_revision| {
-        let message = Message::RequestLeaseExtension {
-            shard: SHARD.into(),
-            term: 3,
-            requested_at: 5,
-            watch_revision,
-        };
-        Input::Peer {
-            message: Box::new(message),
-            node: node.clone(),
-        }
+    })
+}
+
+fn extension_request(node: &str, watch_revision: u64) -> Input {
+    let message = Message::RequestLeaseExtension {
+        shard: SHARD.into(),
+        term: 3,
+        requested_at: 5,
+        watch_revision,
     };
-    let held = |outputs: Vec<Output>| {
-        outputs.into_iter().find_map(|output| match output {
-            Output::Peer {
-                message:
-                    Message::GrantLeaseExtension {
-                        term,
-                        requested_at,
-                        cancelled_jobs,
-                    },
-                ..
-            } => Some((term, requested_at, cancelled_jobs)),
-            _ => None,
-        })
+    Input::Peer {
+        message: Box::new(message),
+        node: node.into(),
+    }
+}
+
+/// Term, time of the request and cancelled jobs of the promise given.
+fn extension_granted(outputs: Vec<Output>) -> Option<(u64, Millis, Vec<CancelledJob>)> {
+    outputs.into_iter().find_map(|output| match output {
+        Output::Peer {
+            message:
+                Message::GrantLeaseExtension {
+                    term,
+                    requested_at,
+                    cancelled_jobs,
+                },
+            ..
+        } => Some((term, requested_at, cancelled_jobs)),
+        _ => None,
+    })
+}
+
+/// The last call to the state service.
+fn last_store_call(outputs: &[Output]) -> u64 {
+    let calls = outputs.iter().filter_map(|output| match output {
+        Output::Store { call, .. } => Some(*call),
+        _ => None,
+    });
+    calls.max().expect("asked")
+}
+
+/// Guards against the gap: the state service refuses the leader alone, another
+/// controller confirms a cancellation, and then nobody reaches it. With its
+/// promise not to claim a controller tells the leader of what was cancelled; while
+/// it can still confirm cancellations it promises nothing.
+#[test]
+fn a_promise_tells_of_what_was_cancelled() {
+    let settings = Settings::parse(SAMPLE).expect("valid settings");
+    let node = settings.peers[0].node.clone();
+    let key = cancelled_job();
+    let mut controller = Controller::new(settings, Policy::default(), 7);
+    let mut monotonic = 1_000_000;
+    let mut step = |input| {
+        monotonic += 10;
+        controller.step(at(monotonic), input)
     };
-    let outputs = step(&mut controller, Input::Tick);
-    let reply = page;
-    let call_of_page = call(&outputs);
-    let outputs = step(
-        &mut controller,
-        Input::Store {
-            call: call_of_page,
-            reply,
-        },
-    );
+    let call = last_store_call(&step(Input::Tick));
+    let reply = watched_page(&key, &node);
+    let outputs = step(Input::Store { call, reply });
     // The state service answers: no promise.
-    assert_eq!(held(step(&mut controller, hold(8))), None);
-    let call = call(&outputs);
+    assert_eq!(extension_granted(step(extension_request(&node, 8))), None);
+    let call = last_store_call(&outputs);
     let reply = StoreReply::Unavailable;
-    step(&mut controller, Input::Store { call, reply });
-    assert_eq!(
-        held(step(&mut controller, hold(8))),
-        Some((3, 5, vec![crate::peers::CancelledJob { key, version: 9 }]))
-    );
-    assert_eq!(held(step(&mut controller, hold(9))), Some((3, 5, Vec::new())));
+    step(Input::Store { call, reply });
+    let cancelled = vec![CancelledJob { key, version: 9 }];
+    let granted = extension_granted(step(extension_request(&node, 8)));
+    assert_eq!(granted, Some((3, 5, cancelled)));
+    let granted = extension_granted(step(extension_request(&node, 9)));
+    assert_eq!(granted, Some((3, 5, Vec::new())));
 }
 
 /// Guards against submissions that wait for seconds behind starts and clean-ups when
