--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -16,7 +16,7 @@
 impl Controller {
     /// The claim in the watch cache changed. One of a higher term ends ours.
     pub(super) fn leader_changed(&mut self) {
-        let Some((leader, version)) = &self.watch_cache.leader else {
+        let Some((leader, version)) = self.watch_cache.leader() else {
             return;
         };
         if self.election.holds_claim() && leader.term > self.election.term() {
@@ -146,7 +146,7 @@
         if !self.election.may_resume(self.now, sent) {
             return;
         }
-        let claim = self.watch_cache.leader.as_ref();
+        let claim = self.watch_cache.leader();
         let ours = claim.is_some_and(|(leader, version)| {
             self.election.is_current_claim(leader) && *version == self.election.claim_version()
         });
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -178,8 +178,8 @@
     /// of reach can still decide on submissions.
     fn catalogue_read(&mut self, catalogue: Catalogue) {
         let value = json!(catalogue);
-        let stored = self.watch_cache.catalogue.as_ref();
-        if stored.is_none_or(|(stored, _)| *stored != value) && self.election.is_acting_leader(self.now) {
+        let stored = self.watch_cache.catalogue();
+        if stored.is_none_or(|stored| *stored != value) && self.election.is_acting_leader(self.now) {
             let transaction = Transaction {
                 conditions: vec![self.election.condition(&self.keys)],
                 changes: vec![Change::put(self.keys.catalogue(), value)],
--- a/src/controller/lease_extension.rs
+++ b/src/controller/lease_extension.rs
@@ -19,7 +19,7 @@
             shard: SHARD.into(),
             term: self.election.term(),
             requested_at: self.now,
-            watch_revision: self.watch_cache.revision,
+            watch_revision: self.watch_cache.revision(),
         };
         self.broadcast(&message);
     }
@@ -27,7 +27,7 @@
     /// The leader can't reach the state service. If nor can we, and we know what
     /// was cancelled, we promise not to claim, and tell it of what it may not know.
     pub(super) fn on_extension_request(&mut self, node: String, term: u64, requested_at: Millis, watch_revision: u64) {
-        if !self.store_client.is_failing() || !self.watch_cache.complete {
+        if !self.store_client.is_failing() || !self.watch_cache.is_complete() {
             return;
         }
         let Some(cancelled_jobs) = self.cancelled_since(watch_revision) else {
@@ -81,7 +81,7 @@
     fn learn_cancelled(&mut self, CancelledJob { key, version }: CancelledJob) {
         let id = key.spec.id.clone();
         let known = self.watch_cache.jobs().get(&id);
-        if version > self.watch_cache.revision && known.is_none_or(|&(_, known)| known < version) {
+        if version > self.watch_cache.revision() && known.is_none_or(|&(_, known)| known < version) {
             self.watch_cache.record_job(&id, key, version);
             self.job_changed(&id);
         }
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -86,7 +86,7 @@
     /// A job key was written by us. The watch may have been faster, even to the job's
     /// end.
     fn record_written(&mut self, id: &str, key: JobKey, revision: u64) {
-        if revision > self.watch_cache.revision {
+        if revision > self.watch_cache.revision() {
             self.watch_cache.record_job(id, key, revision);
             self.job_changed(id);
         }
@@ -129,7 +129,7 @@
     /// answered than refused.
     pub(super) fn on_health_check(&mut self, request: u64) {
         let shared_outage = self.peers.most_in_reach(self.now) && self.peers.with_store(self.now).is_none();
-        let well = self.store_client.is_reachable(self.now) || (self.watch_cache.complete && shared_outage);
+        let well = self.store_client.is_reachable(self.now) || (self.watch_cache.is_complete() && shared_outage);
         let answer = if well {
             crate::admission::text(200, "")
         } else {
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -13,7 +13,7 @@
 
 impl Controller {
     pub(super) fn advance_watch_cache(&mut self) {
-        if !self.watch_cache.complete {
+        if !self.watch_cache.is_complete() {
             if self.watch_state.take_read_due(self.now) {
                 self.read_watch_cache(String::new());
             }
@@ -56,7 +56,7 @@
     pub(super) fn watch_request(&self, wait_ms: u64) -> StoreRequest {
         StoreRequest::Watch {
             prefix: self.keys.watched(),
-            since: self.watch_cache.revision,
+            since: self.watch_cache.revision(),
             wait_ms,
         }
     }
@@ -105,7 +105,7 @@
     /// Takes in what a watch gave. Whether the watch cache is up to date with it.
     pub(super) fn take_log(&mut self, reply: StoreReply) -> bool {
         match reply {
-            StoreReply::Log(log) if self.watch_cache.complete => {
+            StoreReply::Log(log) if self.watch_cache.is_complete() => {
                 let changes = self.watch_cache.take_log(&self.keys, log.revision, log.events);
                 self.on_watched_changes(changes);
                 true
@@ -130,7 +130,7 @@
     }
 
     fn take_stored_catalogue(&mut self) {
-        let value = self.watch_cache.catalogue.as_ref().map(|(value, _)| value.clone());
+        let value = self.watch_cache.catalogue().cloned();
         match value.map(serde_json::from_value::<Catalogue>) {
             Some(Ok(catalogue)) => self.set_catalogue(catalogue),
             Some(Err(error)) => tracing::error!(%error, "the stored catalogue can't be read"),
--- a/src/election/claim.rs
+++ b/src/election/claim.rs
@@ -24,7 +24,7 @@
         keys: &Keys,
         watch_cache: &WatchCache,
     ) -> Option<Transaction> {
-        let leader = watch_cache.leader.as_ref();
+        let leader = watch_cache.leader();
         if leader.is_some_and(|(leader, _)| !self.is_claim_of_earlier_incarnation(leader)) {
             return None;
         }
@@ -42,7 +42,7 @@
 
     /// A claim over the leader key of that version.
     fn claim(&mut self, keys: &Keys, leader_version: u64, watch_cache: &WatchCache) -> Transaction {
-        let (known_term, term_version) = watch_cache.term;
+        let (known_term, term_version) = watch_cache.term();
         self.phase = Phase::Claiming;
         self.term = known_term.max(self.term) + 1;
         let value = LeaderValue {
--- a/src/election/phase.rs
+++ b/src/election/phase.rs
@@ -98,7 +98,7 @@
         connectivity: Connectivity,
     ) -> Option<LeaseRequest> {
         let started_at = *self.claim_wait.started_at.get_or_insert(now);
-        if !watch_cache.complete {
+        if !watch_cache.is_complete() {
             return None;
         }
         if !self.is_vacant(now, started_at, watch_cache) {
@@ -120,9 +120,9 @@
 
     /// Whether the shard may be claimed, as far as the watch cache tells.
     fn is_vacant(&self, now: Millis, started_at: Millis, watch_cache: &WatchCache) -> bool {
-        match &watch_cache.leader {
+        match &watch_cache.leader() {
             // Where there never was a leader, nobody granted it a lease extension.
-            None => watch_cache.term.0 == 0 || now >= started_at + EXTENSION_MS + MARGIN_MS,
+            None => watch_cache.term().0 == 0 || now >= started_at + EXTENSION_MS + MARGIN_MS,
             // A claim by an earlier incarnation of this process is as good as none.
             Some((leader, _)) => self.is_claim_of_earlier_incarnation(leader),
         }
--- a/src/election/tests.rs
+++ b/src/election/tests.rs
@@ -2,18 +2,40 @@
 use super::phase::ISOLATED_CLAIM_DELAY_MS;
 use super::*;
 use crate::store::{Keys, LeaderValue, WatchCache};
+use crate::wire::{Entry, Page};
+use serde_json::json;
 
 const AGE_MS: Millis = 5_000;
 
-fn complete_watch_cache() -> WatchCache {
+/// A watch cache that was read whole, with these keys.
+fn watch_cache_with(keys: &Keys, items: Vec<Entry>) -> WatchCache {
     let mut watch_cache = WatchCache::default();
-    watch_cache.complete = true;
+    let page = Page {
+        items,
+        more: false,
+        revision: 0,
+    };
+    watch_cache.take_page(keys, page).expect("the last page");
     watch_cache
 }
 
+/// The claim of a controller's incarnation, under term 1.
+fn claim_entry(keys: &Keys, node: &str, incarnation: u64) -> Entry {
+    let claim = LeaderValue {
+        node: node.into(),
+        incarnation,
+        term: 1,
+    };
+    Entry {
+        key: keys.leader(),
+        value: json!(claim),
+        version: 1,
+    }
+}
+
 fn claimed(sent: Millis) -> (LeaderElection, Keys, WatchCache) {
     let keys = Keys::new("pool");
-    let watch_cache = complete_watch_cache();
+    let watch_cache = watch_cache_with(&keys, Vec::new());
     let mut election = LeaderElection::new("a", 1, AGE_MS);
     election.watch_cache_read(sent + LEASE_MS);
     assert_eq!(
@@ -68,7 +90,7 @@
 
 #[test]
 fn a_controller_that_hears_nobody_lets_others_claim_first() {
-    let watch_cache = complete_watch_cache();
+    let watch_cache = watch_cache_with(&Keys::new("pool"), Vec::new());
     let mut election = LeaderElection::new("a", 1, AGE_MS);
     assert_eq!(election.poll(0, &watch_cache, Connectivity::Isolated), None);
     assert_eq!(
@@ -115,8 +137,14 @@
 
 #[test]
 fn a_controller_that_promised_does_not_claim_nor_does_its_next_life() {
-    let mut watch_cache = complete_watch_cache();
-    watch_cache.term = (3, 8);
+    let keys = Keys::new("pool");
+    let term = Entry {
+        key: keys.term(),
+        value: json!({ "term": 3 }),
+        version: 8,
+    };
+    let watch_cache = watch_cache_with(&keys, vec![term]);
+    assert_eq!(watch_cache.term(), (3, 8));
     let mut election = LeaderElection::new("a", 1, AGE_MS);
     let settled = EXTENSION_MS + MARGIN_MS;
     // A former incarnation may have promised just before this one began.
@@ -140,20 +168,15 @@
 #[test]
 fn nobody_claims_over_a_claim_seen_while_the_lease_was_asked_for() {
     let keys = Keys::new("pool");
-    let mut watch_cache = complete_watch_cache();
+    let watch_cache = watch_cache_with(&keys, Vec::new());
     let mut election = LeaderElection::new("a", 1, AGE_MS);
     assert_eq!(
         election.poll(0, &watch_cache, Connectivity::Connected),
         Some(LeaseRequest::Grant)
     );
-    let claim = |node: &str, incarnation| LeaderValue {
-        node: node.into(),
-        incarnation,
-        term: 1,
-    };
-    watch_cache.leader = Some((claim("b", 2), 1));
+    let watch_cache = watch_cache_with(&keys, vec![claim_entry(&keys, "b", 2)]);
     assert_eq!(election.granted(9, 0, &keys, &watch_cache), None);
     // One of its own earlier incarnation is as good as none.
-    watch_cache.leader = Some((claim("a", 2), 1));
+    let watch_cache = watch_cache_with(&keys, vec![claim_entry(&keys, "a", 2)]);
     assert!(election.granted(9, 0, &keys, &watch_cache).is_some());
 }
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -21,16 +21,13 @@
 /// A copy of the watched keys as of `revision`.
 #[derive(Debug, Default)]
 pub struct WatchCache {
-    /// Revision of the store up to which all changes are taken in.
-    pub revision: u64,
-    /// False until the first full read, and again when a watch fell too far behind.
-    pub complete: bool,
-    /// The leader's claim, with the version of its key.
-    pub leader: Option<(LeaderValue, u64)>,
-    /// The highest term, with the version of its key.
-    pub term: (u64, u64),
-    /// The catalogue of machine types as it is stored, with the version of its key.
-    pub catalogue: Option<(Value, u64)>,
+    revision: u64,
+    complete: bool,
+    /// With the version of its key.
+    leader: Option<(LeaderValue, u64)>,
+    /// With the version of its key.
+    term: (u64, u64),
+    catalogue: Option<Value>,
     /// Each with the version of its key.
     jobs: BTreeMap<String, (JobKey, u64)>,
     /// Tasks of all these jobs.
@@ -67,6 +64,31 @@
 }
 
 impl WatchCache {
+    /// Revision of the store up to which all changes are taken in.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// False until the first full read, and again when a watch fell too far behind.
+    pub fn is_complete(&self) -> bool {
+        self.complete
+    }
+
+    /// The leader's claim, with the version of its key.
+    pub fn leader(&self) -> Option<&(LeaderValue, u64)> {
+        self.leader.as_ref()
+    }
+
+    /// The highest term, with the version of its key.
+    pub fn term(&self) -> (u64, u64) {
+        self.term
+    }
+
+    /// The catalogue of machine types, as it is stored.
+    pub fn catalogue(&self) -> Option<&Value> {
+        self.catalogue.as_ref()
+    }
+
     /// Takes in one page of a full read; gives the changes once it is the last.
     pub fn take_page(&mut self, keys: &Keys, page: Page) -> Option<Vec<WatchedChange>> {
         let full_read = self.full_read.get_or_insert_with(|| FullRead {
@@ -171,7 +193,7 @@
             self.term = (term.unwrap_or(0), version);
         }
         if key == keys.catalogue() {
-            self.catalogue = Some((value, version));
+            self.catalogue = Some(value);
             return Some(WatchedChange::Catalogue);
         }
         None
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -44,7 +44,7 @@
     cache.record_job("j-9", serde_json::from_value(job_value("j-9", 5)).expect("a job"), 1);
     let first = page(10, true, vec![(keys.job("j-1"), job_value("j-1", 2), 4)]);
     assert_eq!(cache.take_page(&keys, first), None);
-    assert!(!cache.complete);
+    assert!(!cache.is_complete());
     let claim = json!({"node": "a", "life": 1, "term": 3});
     let last = page(
         12,
@@ -58,8 +58,8 @@
         WatchedChange::JobGone("j-9".into()),
     ];
     assert_eq!(changes, expected);
-    assert!(cache.complete);
-    assert_eq!((cache.revision, cache.tasks(), cache.term), (10, 2, (3, 11)));
+    assert!(cache.is_complete());
+    assert_eq!((cache.revision(), cache.tasks(), cache.term()), (10, 2, (3, 11)));
 }
 
 #[test]
@@ -73,7 +73,7 @@
     let appeared_and_gone = [WatchedChange::Job("j-1".into()), WatchedChange::JobGone("j-1".into())];
     assert_eq!(changes, appeared_and_gone);
     assert_eq!(cache.take_log(&keys, 5, jobs.to_vec()), []);
-    assert_eq!((cache.revision, cache.tasks(), cache.jobs().len()), (6, 0, 0));
+    assert_eq!((cache.revision(), cache.tasks(), cache.jobs().len()), (6, 0, 0));
 }
 
 #[test]
@@ -88,11 +88,11 @@
     let changes = cache.take_log(&keys, 3, events);
     assert_eq!(changes, [WatchedChange::Leader, WatchedChange::Catalogue]);
     assert_eq!(
-        cache.leader.as_ref().map(|(leader, version)| (leader.term, *version)),
+        cache.leader().map(|(leader, version)| (leader.term, *version)),
         Some((3, 1))
     );
     let events = vec![removal(keys.leader(), 4), removal(keys.catalogue(), 4)];
     assert_eq!(cache.take_log(&keys, 4, events), [WatchedChange::Leader]);
-    assert_eq!(cache.leader, None);
-    assert!(cache.catalogue.is_some());
+    assert_eq!(cache.leader(), None);
+    assert!(cache.catalogue().is_some());
 }
