--- a/src/controller/shard/tests/attribution.rs
+++ b/src/controller/shard/tests/attribution.rs
@@ -74,7 +74,7 @@
             .workers
             .machines
             .iter()
-            .all(|(_, machine)| machine.failing_jobs.is_empty())
+            .all(|(_, machine)| machine.failures.is_clean())
     );
 }
 
--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -6,7 +6,7 @@
 //! different machines or at different times, to be taken for mistaken; its failures
 //! are then no longer counted against any machine.
 
-use super::{Attempt, Machine, Workers};
+use super::{Attempt, Machine, Outcome, Workers};
 use crate::Millis;
 use crate::ids::JobIx;
 use crate::pipeline::Jobs;
@@ -14,6 +14,8 @@
 /// A machine on which a task failed gets no new tasks for this long, so that a
 /// sick one can't swallow a whole queue.
 const FAILURE_CORDON_MS: Millis = 5_000;
+/// A machine that refused a task gets no new ones for this long.
+const REFUSED_CORDON_MS: Millis = 1_000;
 /// Failures of jobs that succeeded elsewhere, after which a machine is sick.
 const PROVEN_FAILURES: u32 = 3;
 /// Jobs that failed here since the last success, after which it is sick: fewer if
@@ -21,21 +23,62 @@
 pub(crate) const FAILING_JOBS: usize = 3;
 const FAILING_JOBS_ONE_PROVEN: usize = 2;
 
-impl Machine {
-    /// Whether it fails what it is given.
-    pub fn is_sick(&self) -> bool {
-        let failing_jobs = if self.proven_failures > 0 {
+/// The failures that count against a machine.
+#[derive(Debug, Default)]
+pub struct FailureRecord {
+    /// Jobs whose tasks failed here since the last success.
+    jobs: Vec<JobIx>,
+    /// Failures since then of jobs that succeeded elsewhere.
+    proven: u32,
+}
+
+impl FailureRecord {
+    /// No failure counts against the machine.
+    pub fn is_clean(&self) -> bool {
+        self.jobs.is_empty() && self.proven == 0
+    }
+
+    /// So many failures that the machine is most likely at fault.
+    fn is_sick(&self) -> bool {
+        let failing_jobs = if self.proven > 0 {
             FAILING_JOBS_ONE_PROVEN
         } else {
             FAILING_JOBS
         };
-        self.proven_failures >= PROVEN_FAILURES || self.failing_jobs.len() >= failing_jobs
+        self.proven >= PROVEN_FAILURES || self.jobs.len() >= failing_jobs
+    }
+
+    /// Notes that a task of the job failed here. Returns whether one of them had
+    /// failed here before.
+    fn note_job(&mut self, job: JobIx) -> bool {
+        let is_noted = self.jobs.contains(&job);
+        if !is_noted {
+            self.jobs.push(job);
+        }
+        is_noted
     }
 
-    /// A task succeeded here: earlier failures no longer count against the machine.
-    pub(super) fn note_success(&mut self) {
-        self.failing_jobs.clear();
-        self.proven_failures = 0;
+    fn clear(&mut self) {
+        self.jobs.clear();
+        self.proven = 0;
+    }
+}
+
+impl Machine {
+    /// Whether it fails what it is given.
+    pub fn is_sick(&self) -> bool {
+        self.failures.is_sick()
+    }
+
+    /// Takes what the end of an attempt says of the machine; a failure is attributed by
+    /// [`Workers::note_failure`].
+    pub fn note_outcome(&mut self, now: Millis, outcome: Outcome) {
+        match outcome {
+            // A task succeeded here: earlier failures no longer count.
+            Outcome::Done => self.failures.clear(),
+            Outcome::Refused => self.cordoned_until = now + REFUSED_CORDON_MS,
+            Outcome::Error | Outcome::Stopped | Outcome::Lost => {}
+        }
     }
 }
 
@@ -50,15 +93,12 @@
             job.errors += 1;
             return;
         }
-        let is_noted = machine.failing_jobs.contains(&attempt.job);
+        let failed_here_before = machine.failures.note_job(attempt.job);
         // Tasks that fail together on one machine say no more than one of them.
-        let counts_against_job = !is_noted || now >= machine.cordoned_until;
+        let counts_against_job = !failed_here_before || now >= machine.cordoned_until;
         machine.cordoned_until = now + FAILURE_CORDON_MS;
-        if !is_noted {
-            machine.failing_jobs.push(attempt.job);
-        }
         if !job.done.is_empty() {
-            machine.proven_failures += 1;
+            machine.failures.proven += 1;
         } else if counts_against_job {
             job.errors += 1;
         }
@@ -71,7 +111,7 @@
     /// against any machine.
     pub fn clear_failures_of(&mut self, job: JobIx) {
         for (_, machine) in self.machines.iter_mut() {
-            machine.failing_jobs.retain(|&failing| failing != job);
+            machine.failures.jobs.retain(|&failing| failing != job);
         }
     }
 }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,8 +1,8 @@
 //! One machine and its worker, as its reports and the cloud's lists show it.
 
-use super::{CloudListing, Delivery, Outcome};
+use super::{CloudListing, Delivery, FailureRecord};
 use crate::Millis;
-use crate::ids::{AttemptIx, GroupIx, ImageIx, JobIx, TypeIx, ZoneIx};
+use crate::ids::{AttemptIx, GroupIx, ImageIx, TypeIx, ZoneIx};
 use crate::resources::Resources;
 use crate::topology::Offer;
 use crate::wire::{ListedMachine, MachineState, TaskReport};
@@ -13,8 +13,6 @@
 /// The same, after which it is given up: it is heard, but neither answers nor
 /// commands reach it.
 pub const MISSED_ANSWERS_TO_DECOMMISSION: u32 = 4;
-/// A machine that refused a task gets no new ones for this long.
-const REFUSED_CORDON_MS: Millis = 1_000;
 
 /// A rented machine with its worker.
 #[derive(Debug)]
@@ -82,10 +80,8 @@
     pub used: Resources,
     /// Since when it has had no open attempt, if it has none.
     pub idle_since: Millis,
-    /// Jobs whose tasks failed here since the last success.
-    pub failing_jobs: Vec<JobIx>,
-    /// Failures since then of jobs that succeeded elsewhere.
-    pub proven_failures: u32,
+    /// The failures that count against it.
+    pub failures: FailureRecord,
     /// Until then it gets no new tasks.
     pub cordoned_until: Millis,
 }
@@ -124,8 +120,7 @@
             unmatched_tasks: Vec::new(),
             used: Resources::default(),
             idle_since: now,
-            failing_jobs: Vec::new(),
-            proven_failures: 0,
+            failures: FailureRecord::default(),
             cordoned_until: 0,
         }
     }
@@ -195,14 +190,4 @@
             self.idle_since = now;
         }
     }
-
-    /// Takes what the end of an attempt says of the machine; a failure is attributed by
-    /// [`super::Workers::note_failure`].
-    pub fn note_outcome(&mut self, now: Millis, outcome: Outcome) {
-        match outcome {
-            Outcome::Done => self.note_success(),
-            Outcome::Refused => self.cordoned_until = now + REFUSED_CORDON_MS,
-            Outcome::Error | Outcome::Stopped | Outcome::Lost => {}
-        }
-    }
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -27,6 +27,7 @@
 pub use attempts::Attempts;
 #[cfg(test)]
 pub(crate) use attribution::FAILING_JOBS;
+pub use attribution::FailureRecord;
 pub use cloud_listing::CloudListing;
 pub use commands::command_for;
 pub use delivery::Delivery;
