--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -71,7 +71,7 @@
     fn note_unanswered_commit(&mut self) {
         let shard = self.shard.as_mut();
         if let Some(in_flight) = shard.and_then(|shard| shard.pending_writes.in_flight_mut()) {
-            in_flight.uncertain = true;
+            in_flight.note_unanswered();
         }
     }
 
@@ -94,7 +94,7 @@
         let Some(in_flight) = shard.and_then(|shard| shard.pending_writes.in_flight()) else {
             return;
         };
-        if !in_flight.uncertain {
+        if !in_flight.may_be_applied() {
             self.commit_refused(failed);
             return;
         }
--- a/src/persistence/clean_ups.rs
+++ b/src/persistence/clean_ups.rs
@@ -19,8 +19,8 @@
 
 impl PendingWrites {
     pub(super) fn add_clean_ups(&mut self, context: &WriteContext, draft: &mut Draft) {
-        for ix in self.cleanups.clone() {
-            self.cleanups.remove(&ix);
+        for ix in self.clean_ups.clone() {
+            self.clean_ups.remove(&ix);
             let job = context.jobs.table.get(ix);
             let Some(job) = job.filter(|job| job.ended.is_some() && job.open.is_empty()) else {
                 continue;
--- a/src/persistence/in_flight.rs
+++ b/src/persistence/in_flight.rs
@@ -14,13 +14,35 @@
 pub struct InFlight {
     /// Sent again as it is until it is answered.
     pub transaction: Arc<Transaction>,
-    /// An earlier copy went unanswered and may have been applied.
-    pub uncertain: bool,
     /// When it was first sent.
     pub sent: Millis,
+    /// A copy went unanswered.
+    unanswered: bool,
     pub(super) content: Content,
 }
 
+impl InFlight {
+    /// A transaction that is about to be sent.
+    pub(super) fn new(transaction: Arc<Transaction>, now: Millis, content: Content) -> InFlight {
+        InFlight {
+            transaction,
+            sent: now,
+            unanswered: false,
+            content,
+        }
+    }
+
+    /// A copy went unanswered: it may have been applied, or may yet be.
+    pub fn note_unanswered(&mut self) {
+        self.unanswered = true;
+    }
+
+    /// Whether an earlier copy may have been applied.
+    pub fn may_be_applied(&self) -> bool {
+        self.unanswered
+    }
+}
+
 /// What a transaction writes, by kind of change.
 #[derive(Debug, Default)]
 pub(super) struct Content {
--- a/src/persistence/machine_requests.rs
+++ b/src/persistence/machine_requests.rs
@@ -52,7 +52,7 @@
     /// A machine request's key goes only after the machines it brought are written.
     pub(super) fn add_answered_requests(&mut self, context: &WriteContext, draft: &mut Draft) {
         while context.inventory.urgent.is_empty() && draft.builder.has_space(1, DELETE_BYTES) {
-            let Some(answered) = self.settled.pop_front() else {
+            let Some(answered) = self.answered_requests.pop_front() else {
                 return;
             };
             let key = draft.keys.machine_request(&answered.request);
--- a/src/persistence/next_transaction.rs
+++ b/src/persistence/next_transaction.rs
@@ -53,12 +53,7 @@
             return None;
         }
         let transaction = Arc::new(draft.builder.build());
-        self.in_flight = Some(InFlight {
-            transaction: transaction.clone(),
-            uncertain: false,
-            sent: now,
-            content: draft.content,
-        });
+        self.in_flight = Some(InFlight::new(transaction.clone(), now, draft.content));
         Some(transaction)
     }
 
--- a/src/persistence/outcome.rs
+++ b/src/persistence/outcome.rs
@@ -43,10 +43,10 @@
         let content = in_flight.content;
         self.chunks_not_applied(&content.chunks, &mut context);
         self.finished.extend(content.finished_jobs);
-        self.cleanups
+        self.clean_ups
             .extend(content.clean_ups.iter().map(|clean_up| clean_up.job));
         groups_not_applied(&content.groups, &mut context);
         self.machine_requests.extend(content.machine_requests);
-        self.settled.extend(content.answered_requests);
+        self.answered_requests.extend(content.answered_requests);
     }
 }
--- a/src/persistence/pending_writes.rs
+++ b/src/persistence/pending_writes.rs
@@ -16,11 +16,11 @@
     /// Jobs whose last task is done.
     pub(super) finished: BTreeSet<JobIx>,
     /// Ended jobs none of whose attempts is open: their keys can go.
-    pub(super) cleanups: BTreeSet<JobIx>,
+    pub(super) clean_ups: BTreeSet<JobIx>,
     /// Machine requests that are sent once they are written.
     pub(super) machine_requests: VecDeque<MachineRequestRecord>,
     /// Machine requests whose keys can go.
-    pub(super) settled: VecDeque<AnsweredRequest>,
+    pub(super) answered_requests: VecDeque<AnsweredRequest>,
     /// The transaction in flight, if there is one.
     pub(super) in_flight: Option<InFlight>,
 }
@@ -48,7 +48,7 @@
 
     /// A job has ended and none of its attempts is open: its keys can go.
     pub fn queue_clean_up(&mut self, job: JobIx) {
-        self.cleanups.insert(job);
+        self.clean_ups.insert(job);
     }
 
     /// Machines are to be asked for once the request is written.
@@ -58,12 +58,12 @@
 
     /// The cloud answered a machine request: its key can go.
     pub fn queue_answered_request(&mut self, request: AnsweredRequest) {
-        self.settled.push_back(request);
+        self.answered_requests.push_back(request);
     }
 
     /// The machine requests whose keys are not in a transaction yet and can go.
     pub fn answered_requests(&self) -> impl Iterator<Item = &AnsweredRequest> {
-        self.settled.iter()
+        self.answered_requests.iter()
     }
 
     /// The machine requests that are not in a transaction yet.
@@ -78,13 +78,13 @@
 
     /// Whether the keys of a job are due to be removed.
     pub fn is_clean_up_queued(&self, job: JobIx) -> bool {
-        self.cleanups.contains(&job)
+        self.clean_ups.contains(&job)
     }
 
     /// Whether anything is due to be written of any job.
     pub fn has_changes_of_jobs(&self) -> bool {
         let has_chunks = !self.starts.is_empty() || !self.chunks.is_empty();
-        has_chunks || !self.finished.is_empty() || !self.cleanups.is_empty()
+        has_chunks || !self.finished.is_empty() || !self.clean_ups.is_empty()
     }
 
     /// Whether work or users wait for something to be written.
@@ -112,7 +112,7 @@
         self.starts.retain(|chunk| chunk.job != job);
         self.chunks.retain(|chunk| chunk.job != job);
         self.finished.remove(&job);
-        self.cleanups.remove(&job);
+        self.clean_ups.remove(&job);
     }
 
     /// A chunk goes into the transaction that is built now, or need not be written.
--- a/src/topology.rs
+++ b/src/topology.rs
@@ -119,11 +119,6 @@
         ix
     }
 
-    /// Makes room for the types that were named elsewhere.
-    pub fn cover_all_types(&mut self) {
-        self.type_info.resize(self.types.len(), None);
-    }
-
     /// What the catalogue says of a type, if it lists it.
     pub fn info(&self, type_ix: TypeIx) -> Option<&TypeInfo> {
         self.type_info[type_ix.usize()].as_ref()
