--- a/src/controller/lease_extension.rs
+++ b/src/controller/lease_extension.rs
@@ -6,7 +6,7 @@
 use crate::peers::{CancelledJob, Message};
 use crate::wire::JobState;
 
-/// Cancellations told with a promise; one that would take more is not given.
+/// Cancellations told with a grant; an extension that would take more is not granted.
 const MAX_CANCELLED: usize = 200;
 
 impl Controller {
@@ -25,7 +25,7 @@
     }
 
     /// The leader can't reach the state service. If nor can we, and we know what
-    /// was cancelled, we promise not to claim, and tell it of what it may not know.
+    /// was cancelled, we grant the extension, and tell it of what it may not know.
     pub(super) fn on_extension_request(&mut self, node: String, term: u64, requested_at: Millis, watch_revision: u64) {
         if !self.store_client.is_failing() || !self.watch_cache.is_complete() {
             return;
@@ -57,8 +57,8 @@
         (cancelled_jobs.len() <= MAX_CANCELLED).then_some(cancelled_jobs)
     }
 
-    /// A promise for the leader's term. What was cancelled through others is stopped
-    /// before their promise counts.
+    /// A grant for the leader's term. What was cancelled through others is stopped
+    /// before their grant counts.
     pub(super) fn on_extension_grant(
         &mut self,
         node: &str,
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -1,5 +1,5 @@
 //! What is known of the other controllers: when each was last heard, whether it leads
-//! the shard, whether it can use the state service, and what it last promised.
+//! the shard, whether it can use the state service, and which lease extension it last granted.
 
 use super::JobTaskCounts;
 use crate::Millis;
--- a/src/peers/message.rs
+++ b/src/peers/message.rs
@@ -190,7 +190,7 @@
         /// The revision that its watch cache shows.
         watch_revision: u64,
     },
-    /// The promise not to claim that a lease extension needs from every controller.
+    /// The grant that a lease extension needs from every other controller.
     #[serde(rename = "Held")]
     GrantLeaseExtension {
         /// That of the request.
