--- a/benches/costs/follower_costs.rs
+++ b/benches/costs/follower_costs.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[divan::bench]
-fn idle_tick(bencher: Bencher) {
+fn idle_tick(bencher: Bencher<'_, '_>) {
     let mut site = Site::new(true);
     bencher.bench_local(|| site.pass(0));
 }
@@ -11,7 +11,7 @@
 /// A report relayed: its JSON read, the frame written, the answer read and
 /// written as JSON. Without the HTTP library.
 #[divan::bench]
-fn relayed_reports_64(bencher: Bencher) {
+fn relayed_reports_64(bencher: Bencher<'_, '_>) {
     let body = json_report(1_000);
     bencher.bench_local(|| {
         let reports = (0..BATCH as u64).map(|id| RelayedReport {
@@ -48,7 +48,7 @@
 }
 
 #[divan::bench]
-fn poll(bencher: Bencher) {
+fn poll(bencher: Bencher<'_, '_>) {
     let mut site = Site::new(true);
     bencher.bench_local(|| {
         site.step(Input::User {
@@ -59,7 +59,7 @@
 }
 
 #[divan::bench]
-fn heartbeat(bencher: Bencher) {
+fn heartbeat(bencher: Bencher<'_, '_>) {
     let mut site = Site::new(true);
     let message = Message::Heartbeat {
         node: "n1".into(),
--- a/benches/costs/leader_costs.rs
+++ b/benches/costs/leader_costs.rs
@@ -3,21 +3,21 @@
 use super::*;
 
 #[divan::bench]
-fn idle_tick(bencher: Bencher) {
+fn idle_tick(bencher: Bencher<'_, '_>) {
     let mut site = leader();
     bencher.bench_local(|| site.pass(0));
 }
 
 /// Heartbeats, maintenance of all machines, counts: what time alone brings.
 #[divan::bench]
-fn tick_after_50_ms(bencher: Bencher) {
+fn tick_after_50_ms(bencher: Bencher<'_, '_>) {
     let mut site = leader();
     bencher.bench_local(|| site.pass(50));
 }
 
 /// Sixty-four reports: the frame decoded, merged, answered and encoded.
 #[divan::bench]
-fn relayed_reports_64(bencher: Bencher) {
+fn relayed_reports_64(bencher: Bencher<'_, '_>) {
     let mut site = leader();
     let mut seq = 1_000;
     bencher
@@ -41,7 +41,7 @@
 
 /// One report that came to the leader itself, its JSON included.
 #[divan::bench]
-fn direct_report(bencher: Bencher) {
+fn direct_report(bencher: Bencher<'_, '_>) {
     let mut site = leader();
     let mut seq = 1_000;
     bencher
@@ -56,7 +56,7 @@
 }
 
 #[divan::bench]
-fn poll(bencher: Bencher) {
+fn poll(bencher: Bencher<'_, '_>) {
     let mut site = leader();
     bencher.bench_local(|| {
         site.step(Input::User {
@@ -67,7 +67,7 @@
 }
 
 #[divan::bench(sample_count = 50, sample_size = 1)]
-fn submission(bencher: Bencher) {
+fn submission(bencher: Bencher<'_, '_>) {
     let mut site = leader();
     let mut number = 10_000;
     bencher
@@ -84,7 +84,7 @@
 }
 
 #[divan::bench(sample_count = 50, sample_size = 1)]
-fn cancellation(bencher: Bencher) {
+fn cancellation(bencher: Bencher<'_, '_>) {
     let mut site = leader();
     let mut number = 0;
     bencher
@@ -102,7 +102,7 @@
 
 /// Nothing fits: the machines are full and jobs wait.
 #[divan::bench]
-fn placement_round_without_room(bencher: Bencher) {
+fn placement_round_without_room(bencher: Bencher<'_, '_>) {
     let mut shard = shard(400, "high");
     let mut now = fill(&mut shard);
     bencher.bench_local(|| {
@@ -113,7 +113,7 @@
 
 /// Two hundred tasks are placed.
 #[divan::bench(sample_count = 20, sample_size = 1)]
-fn placement_round_with_200_starts(bencher: Bencher) {
+fn placement_round_with_200_starts(bencher: Bencher<'_, '_>) {
     bencher
         .with_inputs(|| shard(400, "high"))
         .bench_local_refs(|shard| shard.place(0));
@@ -121,7 +121,7 @@
 
 /// Urgent jobs wait while work of low priority fills all machines.
 #[divan::bench(sample_count = 20, sample_size = 1)]
-fn preemption_search(bencher: Bencher) {
+fn preemption_search(bencher: Bencher<'_, '_>) {
     bencher
         .with_inputs(|| {
             let mut shard = shard(400, "low");
@@ -138,7 +138,7 @@
 
 /// Built, written as JSON, and its answer taken in.
 #[divan::bench(sample_count = 20, sample_size = 1)]
-fn transaction(bencher: Bencher) {
+fn transaction(bencher: Bencher<'_, '_>) {
     let keys = Keys::new("pool");
     bencher
         .with_inputs(|| {
@@ -159,7 +159,7 @@
 
 /// A page of 500 machines of the cloud's list, its JSON included.
 #[divan::bench]
-fn cloud_list_500(bencher: Bencher) {
+fn cloud_list_500(bencher: Bencher<'_, '_>) {
     let mut shard = shard(0, "high");
     let machines = (0..500).map(|number| ListedMachine {
         id: site::machine_name(number),
--- a/benches/costs/main.rs
+++ b/benches/costs/main.rs
@@ -91,7 +91,7 @@
 
 /// A line at the level that is written.
 #[divan::bench]
-fn log_line(bencher: Bencher) {
+fn log_line(bencher: Bencher<'_, '_>) {
     let subscriber = tracing_subscriber::fmt().with_writer(std::io::sink).finish();
     tracing::subscriber::with_default(subscriber, || {
         bencher.bench_local(|| tracing::info!(machine = "host-000001", reason = "silent", "decommissioning a machine"));
--- a/src/admission/cancellations.rs
+++ b/src/admission/cancellations.rs
@@ -8,7 +8,7 @@
 
 /// The write that cancels a job, whose key now has this value and version. From then on the
 /// job's end is kept for good, and its own key says that it ended until it is cleaned up.
-pub(super) fn cancellation(context: &AdmissionContext, job: &JobKey, job_version: u64) -> JobWrite {
+pub(super) fn cancellation(context: &AdmissionContext<'_>, job: &JobKey, job_version: u64) -> JobWrite {
     let end = EndValue {
         state: JobState::Cancelled,
         done: 0,
--- a/src/admission/confirmations.rs
+++ b/src/admission/confirmations.rs
@@ -50,7 +50,7 @@
     }
 
     /// The confirming read with this number came back, and the watch cache took it in.
-    pub fn synced(&mut self, context: &AdmissionContext, number: u64) -> Vec<AdmissionEffect> {
+    pub fn synced(&mut self, context: &AdmissionContext<'_>, number: u64) -> Vec<AdmissionEffect> {
         let mut effects = Vec::new();
         for request_id in self.served_by(number) {
             effects.extend(self.confirmed(context, request_id));
@@ -78,7 +78,7 @@
     }
 
     /// The watch cache is newer than the request: what it shows may be told.
-    fn confirmed(&mut self, context: &AdmissionContext, request_id: u64) -> Vec<AdmissionEffect> {
+    fn confirmed(&mut self, context: &AdmissionContext<'_>, request_id: u64) -> Vec<AdmissionEffect> {
         let Some(request) = self.pending.get_mut(&request_id) else {
             return Vec::new();
         };
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -86,7 +86,7 @@
     /// not this one.
     pub fn handle(
         &mut self,
-        context: &AdmissionContext,
+        context: &AdmissionContext<'_>,
         requester: Requester,
         user_request: UserRequest,
         forward_to: Option<String>,
@@ -134,7 +134,7 @@
     }
 
     /// Starts, or starts again, on a request that is ours to answer.
-    fn begin(&mut self, context: &AdmissionContext, request_id: u64) -> Vec<AdmissionEffect> {
+    fn begin(&mut self, context: &AdmissionContext<'_>, request_id: u64) -> Vec<AdmissionEffect> {
         let Some(request) = self.pending.get_mut(&request_id) else {
             return Vec::new();
         };
@@ -165,7 +165,7 @@
     }
 
     /// Gives up what waited too long; takes back what was forwarded in vain.
-    pub fn tick(&mut self, context: &AdmissionContext, in_reach: &dyn Fn(&str) -> bool) -> Vec<AdmissionEffect> {
+    pub fn tick(&mut self, context: &AdmissionContext<'_>, in_reach: &dyn Fn(&str) -> bool) -> Vec<AdmissionEffect> {
         let mut effects = Vec::new();
         let request_ids: Vec<u64> = self.pending.keys().copied().collect();
         for request_id in request_ids {
--- a/src/admission/submissions.rs
+++ b/src/admission/submissions.rs
@@ -21,7 +21,7 @@
 }
 
 /// Decides on a well-formed submission.
-pub(super) fn decide(context: &AdmissionContext, spec: &JobSpec) -> Decision {
+pub(super) fn decide(context: &AdmissionContext<'_>, spec: &JobSpec) -> Decision {
     match (context.verdict)(spec) {
         Verdict::Refused(refusal) => Decision::Refuse(refusal),
         Verdict::NotKnownYet => Decision::Postpone(Unavailable::MachineTypesUnknown),
@@ -32,7 +32,7 @@
     }
 }
 
-fn acceptance(context: &AdmissionContext, spec: &JobSpec) -> JobWrite {
+fn acceptance(context: &AdmissionContext<'_>, spec: &JobSpec) -> JobWrite {
     let job = JobKey {
         spec: spec.clone(),
         accepted_ms: context.wall_clock,
--- a/src/admission/writes.rs
+++ b/src/admission/writes.rs
@@ -22,7 +22,12 @@
 
 impl JobWrite {
     /// Creates or replaces the job key, which now has this version, after other changes.
-    pub(super) fn new(context: &AdmissionContext, job: JobKey, job_version: u64, mut changes: Vec<Change>) -> JobWrite {
+    pub(super) fn new(
+        context: &AdmissionContext<'_>,
+        job: JobKey,
+        job_version: u64,
+        mut changes: Vec<Change>,
+    ) -> JobWrite {
         let job_key = context.keys.job(&job.spec.id);
         let mut conditions = vec![
             Condition {
@@ -44,7 +49,12 @@
 
 impl Admission {
     /// The reply to a create-once write.
-    pub fn written(&mut self, context: &AdmissionContext, request_id: u64, reply: &StoreReply) -> Vec<AdmissionEffect> {
+    pub fn written(
+        &mut self,
+        context: &AdmissionContext<'_>,
+        request_id: u64,
+        reply: &StoreReply,
+    ) -> Vec<AdmissionEffect> {
         let Some(request) = self.pending.get(&request_id) else {
             return Vec::new();
         };
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -10,7 +10,7 @@
     /// Lets admission act, with what its answers depend on.
     pub(super) fn with_admission<T>(
         &mut self,
-        act: impl FnOnce(&mut Admission, &AdmissionContext, &PeerLinks) -> T,
+        act: impl FnOnce(&mut Admission, &AdmissionContext<'_>, &PeerLinks) -> T,
     ) -> T {
         let claim = self
             .election
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -23,15 +23,23 @@
 
 /// Everything that the leader of a shard knows of it. Made anew for every term.
 pub struct Shard {
+    /// The shard's name, which is part of its keys.
     pub name: String,
+    /// The term in which this leader was elected.
     pub term: u64,
+    /// What operators set for placement and scaling.
     pub policy: Policy,
     /// The time of day of the step now going on.
     pub wall_clock: Millis,
+    /// The types of machines and the zones.
     pub topology: Topology,
+    /// The jobs, their tasks and the quotas of teams.
     pub jobs: Jobs,
+    /// The machines and the attempts on them.
     pub workers: Workers,
+    /// What is rented, and what is known of it to a successor.
     pub fleet: Fleet,
+    /// What is to be written, and the transaction in flight.
     pub pending_writes: PendingWrites,
     /// Chooses the tasks that have to make room for others.
     pub preemptor: Preemptor,
--- a/src/fleet/boot.rs
+++ b/src/fleet/boot.rs
@@ -20,7 +20,7 @@
 impl Fleet {
     /// Whether a machine should have shown itself by now. One in a silent zone may be
     /// up and cut off, and a leader that has just begun to hear can't tell yet.
-    pub(crate) fn is_boot_overdue(&self, context: &FleetContext, machine: &Machine) -> bool {
+    pub(crate) fn is_boot_overdue(&self, context: &FleetContext<'_>, machine: &Machine) -> bool {
         let workers = context.workers;
         let boot_s = context.topology.boot_s(machine.type_ix);
         let due_ms = crate::millis(boot_s * OVERDUE_BOOTS + workers.longest_report_interval_s());
@@ -32,7 +32,7 @@
 
     /// Offers most of whose machines still to come are overdue: what is asked for there
     /// now would hardly come sooner.
-    pub(crate) fn overdue_offers(&self, context: &FleetContext) -> BTreeSet<Offer> {
+    pub(crate) fn overdue_offers(&self, context: &FleetContext<'_>) -> BTreeSet<Offer> {
         let mut counts: BTreeMap<Offer, BootCounts> = BTreeMap::new();
         for (_, machine) in context.workers.machines.iter() {
             if machine.last_sign().is_none() && !machine.decommissioned {
--- a/src/fleet/forecast.rs
+++ b/src/fleet/forecast.rs
@@ -34,7 +34,7 @@
 impl Forecast {
     /// Tasks of each class to be ready for: what waits and runs now, or what
     /// ran on average lately with some headroom, whichever is more.
-    pub(crate) fn update(&mut self, context: &FleetContext) -> Vec<CapacityNeed> {
+    pub(crate) fn update(&mut self, context: &FleetContext<'_>) -> Vec<CapacityNeed> {
         self.add_new_classes(context);
         self.set_current_demand(context);
         self.add_samples(context);
@@ -43,7 +43,7 @@
         needs
     }
 
-    fn add_new_classes(&mut self, context: &FleetContext) {
+    fn add_new_classes(&mut self, context: &FleetContext<'_>) {
         for job in live_jobs(context) {
             self.classes
                 .entry(job.class)
@@ -52,7 +52,7 @@
     }
 
     /// What is wanted now, of which no team can use more than its limit.
-    fn set_current_demand(&mut self, context: &FleetContext) {
+    fn set_current_demand(&mut self, context: &FleetContext<'_>) {
         for class in self.classes.values_mut() {
             class.current = TaskDemand::default();
         }
@@ -71,14 +71,14 @@
         }
     }
 
-    fn add_samples(&mut self, context: &FleetContext) {
+    fn add_samples(&mut self, context: &FleetContext<'_>) {
         let period = crate::millis(context.policy.forecast_s);
         for class in self.classes.values_mut() {
             class.add_sample(context.now, period);
         }
     }
 
-    fn capacity_needs(&self, context: &FleetContext) -> Vec<CapacityNeed> {
+    fn capacity_needs(&self, context: &FleetContext<'_>) -> Vec<CapacityNeed> {
         let fewest_samples = context.policy.forecast_s / FEWEST_SAMPLES_DIVISOR_S;
         let mut needs = Vec::new();
         for class in self.classes.values() {
@@ -106,7 +106,7 @@
     jobs.filter(|job| job.is_active())
 }
 
-fn demand_by_team(context: &FleetContext) -> BTreeMap<ClassOfTeam, TaskDemand> {
+fn demand_by_team(context: &FleetContext<'_>) -> BTreeMap<ClassOfTeam, TaskDemand> {
     let mut by_team: BTreeMap<ClassOfTeam, TaskDemand> = BTreeMap::new();
     for job in live_jobs(context) {
         let class_of_team = ClassOfTeam {
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -61,7 +61,7 @@
     }
 
     /// Whether a machine has failed in this way.
-    fn applies_to(self, status: &MachineStatus) -> bool {
+    fn applies_to(self, status: &MachineStatus<'_>) -> bool {
         let machine = status.machine;
         match self {
             Failure::Unresponsive => {
@@ -151,7 +151,7 @@
 
 impl Fleet {
     /// Judges the health of all machines that are not decommissioned yet.
-    pub fn assess_health(&mut self, context: &FleetContext) -> HealthAssessment {
+    pub fn assess_health(&mut self, context: &FleetContext<'_>) -> HealthAssessment {
         let signs = last_signs(context);
         // Their machines keep their images and need no boot, so they are waited for as
         // long as new ones would take.
@@ -177,7 +177,7 @@
 
     fn status_of<'a>(
         &self,
-        context: &FleetContext,
+        context: &FleetContext<'_>,
         fleet: &'a FleetStatus,
         ix: MachineIx,
         machine: &'a Machine,
@@ -200,7 +200,7 @@
 }
 
 impl FleetStatus {
-    fn new(context: &FleetContext, signs: &[LastSign]) -> FleetStatus {
+    fn new(context: &FleetContext<'_>, signs: &[LastSign]) -> FleetStatus {
         let silence_ms = context.silence_ms();
         let unresponsive = signs.iter().filter(|sign| context.now > sign.at + silence_ms);
         let machines = || context.workers.machines.iter().map(|(_, machine)| machine);
@@ -215,7 +215,7 @@
 }
 
 /// Of the machines that were ever known to be up.
-fn last_signs(context: &FleetContext) -> Vec<LastSign> {
+fn last_signs(context: &FleetContext<'_>) -> Vec<LastSign> {
     let hearing_since = context.workers.hearing_since;
     let machines = context.workers.machines.iter();
     machines
@@ -233,7 +233,7 @@
 ///
 /// Told by half the silence that it takes of one machine: the first to be given up would
 /// else go one by one before the others, which reported a little later, count as such.
-fn silent_zones(context: &FleetContext, signs: &[LastSign]) -> BTreeSet<ZoneIx> {
+fn silent_zones(context: &FleetContext<'_>, signs: &[LastSign]) -> BTreeSet<ZoneIx> {
     let patience = context.silence_ms() / 2;
     let zones = (0..context.topology.zones.len()).map(ZoneIx::from_usize);
     zones
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -91,7 +91,7 @@
 
     /// Adds a sample of what is wanted now to the forecast; gives the tasks of each class
     /// to be ready for.
-    pub(crate) fn update_forecast(&mut self, context: &FleetContext) -> Vec<CapacityNeed> {
+    pub(crate) fn update_forecast(&mut self, context: &FleetContext<'_>) -> Vec<CapacityNeed> {
         self.forecast.update(context)
     }
 }
--- a/src/fleet/planned.rs
+++ b/src/fleet/planned.rs
@@ -55,7 +55,7 @@
 impl Fleet {
     /// The machines there are and those asked for. Small and busy ones come
     /// first and so are filled first, idle and on-demand ones last.
-    pub(crate) fn planned_machines(&self, context: &FleetContext) -> Vec<PlannedMachine> {
+    pub(crate) fn planned_machines(&self, context: &FleetContext<'_>) -> Vec<PlannedMachine> {
         let mut planned = Vec::with_capacity(context.workers.machines.len());
         for (ix, machine) in context.workers.machines.iter() {
             if let Some(info) = context.topology.info(machine.type_ix)
@@ -88,7 +88,7 @@
         planned
     }
 
-    fn is_expected_to_stay(&self, context: &FleetContext, machine: &Machine) -> bool {
+    fn is_expected_to_stay(&self, context: &FleetContext<'_>, machine: &Machine) -> bool {
         let is_leaving = machine.decommissioned || machine.silent || machine.spot_reclaim_at.is_some();
         !is_leaving && machine.group.is_some() && !self.is_boot_overdue(context, machine)
     }
--- a/src/fleet/provision.rs
+++ b/src/fleet/provision.rs
@@ -30,7 +30,7 @@
 impl Fleet {
     /// Packs the forecast into the machines there are and on their way; scales out
     /// for what is left over and scales in what stays unused.
-    pub(crate) fn plan_scaling(&mut self, context: &FleetContext, needs: &[CapacityNeed]) -> ScalingPlan {
+    pub(crate) fn plan_scaling(&mut self, context: &FleetContext<'_>, needs: &[CapacityNeed]) -> ScalingPlan {
         let mut machines = self.planned_machines(context);
         let purchases = self.choose_purchases(context, needs, &mut machines);
         ScalingPlan {
@@ -42,7 +42,7 @@
     /// How many machines to ask for of each offer, for what finds no room.
     fn choose_purchases(
         &self,
-        context: &FleetContext,
+        context: &FleetContext<'_>,
         needs: &[CapacityNeed],
         machines: &mut [PlannedMachine],
     ) -> BTreeMap<Offer, u32> {
@@ -75,7 +75,7 @@
     /// on what is asked for at a time.
     fn request_machines(
         &mut self,
-        context: &FleetContext,
+        context: &FleetContext<'_>,
         purchases: BTreeMap<Offer, u32>,
     ) -> Vec<MachineRequestRecord> {
         // Those decommissioned are there until the cloud says that they are gone.
@@ -98,7 +98,7 @@
         requests
     }
 
-    fn machine_request(&mut self, context: &FleetContext, offer: Offer, count: u32) -> MachineRequestRecord {
+    fn machine_request(&mut self, context: &FleetContext<'_>, offer: Offer, count: u32) -> MachineRequestRecord {
         // The term is ours alone, so the name was never used before.
         let request = format!("{}-{}-{}", context.shard_name, context.term, self.next_request);
         self.next_request += 1;
@@ -135,7 +135,7 @@
 }
 
 /// The machines that were left out of the packing and have been idle for long.
-fn idle_machines(context: &FleetContext, machines: &[PlannedMachine]) -> Vec<MachineIx> {
+fn idle_machines(context: &FleetContext<'_>, machines: &[PlannedMachine]) -> Vec<MachineIx> {
     let spot_idle_ms = crate::millis(context.policy.idle_return_s);
     let mut idle = Vec::new();
     for ix in machines.iter().filter_map(PlannedMachine::unused_machine) {
--- a/src/persistence/clean_ups.rs
+++ b/src/persistence/clean_ups.rs
@@ -18,7 +18,7 @@
 }
 
 impl PendingWrites {
-    pub(super) fn add_clean_ups(&mut self, context: &WriteContext, draft: &mut Draft) {
+    pub(super) fn add_clean_ups(&mut self, context: &WriteContext<'_>, draft: &mut Draft<'_>) {
         for ix in self.clean_ups.clone() {
             self.clean_ups.remove(&ix);
             let job = context.jobs.table.get(ix);
@@ -37,7 +37,7 @@
     pub(super) fn clean_ups_committed(
         &mut self,
         clean_ups: &[CleanUp],
-        context: &mut WriteContext,
+        context: &mut WriteContext<'_>,
         effects: &mut Committed,
     ) {
         for clean_up in clean_ups {
--- a/src/persistence/finished_jobs.rs
+++ b/src/persistence/finished_jobs.rs
@@ -16,7 +16,7 @@
 const JOB_BYTES: usize = 700;
 
 impl PendingWrites {
-    pub(super) fn add_finished_jobs(&mut self, context: &WriteContext, draft: &mut Draft) {
+    pub(super) fn add_finished_jobs(&mut self, context: &WriteContext<'_>, draft: &mut Draft<'_>) {
         for ix in self.finished.clone() {
             if !draft.builder.has_space(CHANGES, BYTES) {
                 return;
@@ -30,7 +30,7 @@
         }
     }
 
-    pub(super) fn finished_jobs_committed(&mut self, jobs: &[JobIx], context: &mut WriteContext, revision: u64) {
+    pub(super) fn finished_jobs_committed(&mut self, jobs: &[JobIx], context: &mut WriteContext<'_>, revision: u64) {
         for &ix in jobs {
             if let Some(job) = context.jobs.table.get_mut(ix) {
                 job.ended = Some(JobState::Done);
--- a/src/persistence/inventory_groups.rs
+++ b/src/persistence/inventory_groups.rs
@@ -23,19 +23,19 @@
 }
 
 /// Groups with machines that can't be used until they are written.
-pub(super) fn add_urgent_groups(context: &mut WriteContext, draft: &mut Draft) {
+pub(super) fn add_urgent_groups(context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
     let due = context.inventory.urgent.clone();
     add_groups(due, context, draft);
 }
 
 /// All groups whose keys do not say what they should.
-pub(super) fn add_all_groups(context: &mut WriteContext, draft: &mut Draft) {
+pub(super) fn add_all_groups(context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
     let mut due = context.inventory.urgent.clone();
     due.extend(&context.inventory.late);
     add_groups(due, context, draft);
 }
 
-fn add_groups(due: BTreeSet<GroupIx>, context: &mut WriteContext, draft: &mut Draft) {
+fn add_groups(due: BTreeSet<GroupIx>, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
     for ix in due {
         let Some(group) = context.inventory.groups.get(ix) else {
             unqueue(ix, context);
@@ -55,12 +55,18 @@
     }
 }
 
-fn unqueue(ix: GroupIx, context: &mut WriteContext) {
+fn unqueue(ix: GroupIx, context: &mut WriteContext<'_>) {
     context.inventory.urgent.remove(&ix);
     context.inventory.late.remove(&ix);
 }
 
-fn add_group(ix: GroupIx, group: &Group, bytes: usize, context: &WriteContext, draft: &mut Draft) -> WrittenGroup {
+fn add_group(
+    ix: GroupIx,
+    group: &Group,
+    bytes: usize,
+    context: &WriteContext<'_>,
+    draft: &mut Draft<'_>,
+) -> WrittenGroup {
     let key = draft.keys.inventory(&group.name);
     let machines: Vec<&Machine> = machines_of(group, context.workers).collect();
     if machines.is_empty() {
@@ -94,7 +100,7 @@
 }
 
 /// The keys of these groups say what was written.
-pub(super) fn groups_committed(groups: Vec<WrittenGroup>, context: &mut WriteContext, revision: u64) {
+pub(super) fn groups_committed(groups: Vec<WrittenGroup>, context: &mut WriteContext<'_>, revision: u64) {
     for WrittenGroup { group: ix, machines } in groups {
         if machines.is_empty() {
             group_deleted(ix, context);
@@ -117,7 +123,7 @@
 }
 
 /// A group's key is deleted. Machines may have joined it meanwhile.
-fn group_deleted(ix: GroupIx, context: &mut WriteContext) {
+fn group_deleted(ix: GroupIx, context: &mut WriteContext<'_>) {
     match context.inventory.groups.get_mut(ix) {
         Some(group) if !group.members.is_empty() => group.version = 0,
         _ => context.inventory.forget(ix),
@@ -125,7 +131,7 @@
 }
 
 /// The keys of these groups are as they were.
-pub(super) fn groups_not_applied(groups: &[WrittenGroup], context: &mut WriteContext) {
+pub(super) fn groups_not_applied(groups: &[WrittenGroup], context: &mut WriteContext<'_>) {
     let groups = groups.iter().map(|written| written.group);
     context.inventory.urgent.extend(groups);
 }
--- a/src/persistence/machine_requests.rs
+++ b/src/persistence/machine_requests.rs
@@ -37,7 +37,7 @@
 }
 
 impl PendingWrites {
-    pub(super) fn add_machine_requests(&mut self, draft: &mut Draft) {
+    pub(super) fn add_machine_requests(&mut self, draft: &mut Draft<'_>) {
         while draft.builder.has_space(1, REQUEST_BYTES) {
             let Some(record) = self.machine_requests.pop_front() else {
                 return;
@@ -50,7 +50,7 @@
     }
 
     /// A machine request's key goes only after the machines it brought are written.
-    pub(super) fn add_answered_requests(&mut self, context: &WriteContext, draft: &mut Draft) {
+    pub(super) fn add_answered_requests(&mut self, context: &WriteContext<'_>, draft: &mut Draft<'_>) {
         while context.inventory.urgent.is_empty() && draft.builder.has_space(1, DELETE_BYTES) {
             let Some(answered) = self.answered_requests.pop_front() else {
                 return;
--- a/src/persistence/next_transaction.rs
+++ b/src/persistence/next_transaction.rs
@@ -35,7 +35,7 @@
         &mut self,
         now: Millis,
         keys: &Keys,
-        mut context: WriteContext,
+        mut context: WriteContext<'_>,
         claim: Condition,
         limits: ChangeLimits,
     ) -> Option<Arc<Transaction>> {
@@ -58,7 +58,7 @@
     }
 
     /// What work or users wait for.
-    fn add_urgent(&mut self, now: Millis, context: &mut WriteContext, draft: &mut Draft) {
+    fn add_urgent(&mut self, now: Millis, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
         self.add_finished_jobs(context, draft);
         add_urgent_groups(context, draft);
         self.add_machine_requests(draft);
@@ -67,7 +67,13 @@
     }
 
     /// What nobody waits for.
-    fn add_deferrable(&mut self, now: Millis, context: &mut WriteContext, limits: ChangeLimits, draft: &mut Draft) {
+    fn add_deferrable(
+        &mut self,
+        now: Millis,
+        context: &mut WriteContext<'_>,
+        limits: ChangeLimits,
+        draft: &mut Draft<'_>,
+    ) {
         let urgent = draft.builder.len();
         let most = limits.total.min(limits.spare.max(urgent));
         // Half of it for clean-ups, so that they are never put off for good.
--- a/src/persistence/outcome.rs
+++ b/src/persistence/outcome.rs
@@ -20,7 +20,7 @@
 
 impl PendingWrites {
     /// The transaction in flight was applied at `revision`.
-    pub fn committed(&mut self, mut context: WriteContext, revision: u64) -> Committed {
+    pub fn committed(&mut self, mut context: WriteContext<'_>, revision: u64) -> Committed {
         let mut effects = Committed::default();
         let Some(in_flight) = self.in_flight.take() else {
             return effects;
@@ -36,7 +36,7 @@
 
     /// The transaction in flight was surely not applied: everything in it has
     /// to be considered again.
-    pub fn not_applied(&mut self, mut context: WriteContext) {
+    pub fn not_applied(&mut self, mut context: WriteContext<'_>) {
         let Some(in_flight) = self.in_flight.take() else {
             return;
         };
--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -19,13 +19,18 @@
 
 impl PendingWrites {
     /// Chunks with attempts that start once they are written.
-    pub(super) fn add_chunks_with_starts(&mut self, now: Millis, context: &mut WriteContext, draft: &mut Draft) {
+    pub(super) fn add_chunks_with_starts(
+        &mut self,
+        now: Millis,
+        context: &mut WriteContext<'_>,
+        draft: &mut Draft<'_>,
+    ) {
         let due = self.starts.clone();
         self.add_chunks(now, due, context, draft);
     }
 
     /// Chunks that changed otherwise and were not written lately.
-    pub(super) fn add_changed_chunks(&mut self, now: Millis, context: &mut WriteContext, draft: &mut Draft) {
+    pub(super) fn add_changed_chunks(&mut self, now: Millis, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
         let is_due = |id: &ChunkId| {
             let job = context.jobs.table.get(id.job);
             let chunk = job.and_then(|job| job.chunks.get(id.number as usize));
@@ -35,7 +40,13 @@
         self.add_chunks(now, due, context, draft);
     }
 
-    fn add_chunks(&mut self, now: Millis, due: BTreeSet<ChunkId>, context: &mut WriteContext, draft: &mut Draft) {
+    fn add_chunks(
+        &mut self,
+        now: Millis,
+        due: BTreeSet<ChunkId>,
+        context: &mut WriteContext<'_>,
+        draft: &mut Draft<'_>,
+    ) {
         for id in due {
             let Some(job) = context.jobs.table.get_mut(id.job) else {
                 self.unqueue_chunk(id);
@@ -65,7 +76,7 @@
     pub(super) fn chunks_committed(
         &mut self,
         chunks: &[ChunkId],
-        context: &mut WriteContext,
+        context: &mut WriteContext<'_>,
         revision: u64,
         effects: &mut Committed,
     ) {
@@ -79,7 +90,7 @@
         }
     }
 
-    pub(super) fn chunks_not_applied(&mut self, chunks: &[ChunkId], context: &mut WriteContext) {
+    pub(super) fn chunks_not_applied(&mut self, chunks: &[ChunkId], context: &mut WriteContext<'_>) {
         for &id in chunks {
             let Some(job) = context.jobs.table.get_mut(id.job) else {
                 continue;
@@ -131,7 +142,7 @@
     }
 }
 
-fn add_chunk(job: &Job, id: ChunkId, value: &ChunkValue, bytes: usize, draft: &mut Draft) {
+fn add_chunk(job: &Job, id: ChunkId, value: &ChunkValue, bytes: usize, draft: &mut Draft<'_>) {
     let key = draft.keys.firing(&job.id, id.number);
     let version = job.chunks[id.number as usize].version;
     draft.builder.require(key.clone(), version);
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -31,7 +31,7 @@
 
 /// Decides where the next task of a job goes. `ranking`: that of the job, which is made
 /// when there is none.
-pub fn choose(cluster: &Cluster, job: &Job, view: &mut MachineView, ranking: &mut Option<Ranking>) -> Choice {
+pub fn choose(cluster: &Cluster<'_>, job: &Job, view: &mut MachineView, ranking: &mut Option<Ranking>) -> Choice {
     if view.is_unplaceable(&job.shape) {
         return Choice::NoRoom;
     }
@@ -67,7 +67,7 @@
 /// Until when the job's tasks wait for a full cache holder, where this can be told
 /// without a ranking: many jobs wait for their image at once.
 fn wait_without_ranking(
-    cluster: &Cluster,
+    cluster: &Cluster<'_>,
     job: &Job,
     view: &mut MachineView,
     zones: &Option<Vec<ZoneIx>>,
@@ -85,7 +85,7 @@
 
 /// Until when a job's tasks wait for a machine that has their image cached, rather
 /// than fetch it on one of the given type.
-fn waits_until(cluster: &Cluster, job: &Job, type_ix: TypeIx) -> Millis {
+fn waits_until(cluster: &Cluster<'_>, job: &Job, type_ix: TypeIx) -> Millis {
     job.waiting_until.unwrap_or_else(|| {
         let info = cluster.topology.type_info[type_ix.usize()].as_ref();
         let fetch_s = info.map_or(0.0, |info| {
--- a/src/placement/preemption/candidates.rs
+++ b/src/placement/preemption/candidates.rs
@@ -68,7 +68,7 @@
 
 /// Machines on which a task could be stopped for one of these jobs, or is being
 /// stopped. The smallest loss first.
-pub fn find_candidates(cluster: &Cluster, short_jobs: &[JobIx]) -> Vec<Candidate> {
+pub fn find_candidates(cluster: &Cluster<'_>, short_jobs: &[JobIx]) -> Vec<Candidate> {
     let short = short_jobs.iter().filter_map(|&ix| cluster.jobs.table.get(ix));
     let mut search = CandidateSearch {
         cluster,
--- a/src/placement/preemption/mod.rs
+++ b/src/placement/preemption/mod.rs
@@ -39,7 +39,7 @@
 impl Preemptor {
     /// The attempts to stop where tasks of higher priority have waited for room too
     /// long. None if it is too soon after the last round.
-    pub fn choose_victims(&mut self, cluster: &Cluster) -> Vec<AttemptIx> {
+    pub fn choose_victims(&mut self, cluster: &Cluster<'_>) -> Vec<AttemptIx> {
         let now = cluster.now.monotonic;
         if now < self.last_round_at + PREEMPTION_INTERVAL_MS {
             return Vec::new();
@@ -82,7 +82,7 @@
 }
 
 /// Jobs that have waited for room too long, in the order of placement.
-fn jobs_short_of_room(cluster: &Cluster) -> Vec<JobIx> {
+fn jobs_short_of_room(cluster: &Cluster<'_>) -> Vec<JobIx> {
     let wait_ms = crate::millis(cluster.policy.preempt_wait_s);
     let now = cluster.now.monotonic;
     let jobs = &cluster.jobs.table;
@@ -96,7 +96,7 @@
 }
 
 /// What the jobs that outrank some victim still need, within their teams' limits.
-fn demands(cluster: &Cluster, short_jobs: &[JobIx], candidates: &[Candidate]) -> Vec<Demand> {
+fn demands(cluster: &Cluster<'_>, short_jobs: &[JobIx], candidates: &[Candidate]) -> Vec<Demand> {
     let victims = candidates.iter().flat_map(|candidate| &candidate.victims);
     let lowest = victims.map(|victim| victim.priority).min();
     let short = short_jobs.iter().filter_map(|&ix| cluster.jobs.table.get(ix));
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -15,7 +15,7 @@
 
 /// Plans attempts for released tasks. Returns the chunks that have to be written
 /// before these start.
-pub fn place(context: PlacementContext) -> Vec<ChunkId> {
+pub fn place(context: PlacementContext<'_>) -> Vec<ChunkId> {
     Round::new(context).run()
 }
 
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -5,7 +5,7 @@
 use crate::pipeline::Job;
 
 /// The zones in which one more task of the job may run now. `None`: any zone.
-pub fn zones_open_to(cluster: &Cluster, job: &Job) -> Option<Vec<ZoneIx>> {
+pub fn zones_open_to(cluster: &Cluster<'_>, job: &Job) -> Option<Vec<ZoneIx>> {
     if !job.is_bound_to_zones() {
         return None;
     }
@@ -21,7 +21,7 @@
 }
 
 /// How many open tasks of the job each zone has, in the order of the zones' indices.
-fn open_tasks_by_zone(cluster: &Cluster, job: &Job) -> Vec<u32> {
+fn open_tasks_by_zone(cluster: &Cluster<'_>, job: &Job) -> Vec<u32> {
     let mut counts = vec![0u32; cluster.topology.zones.len()];
     let attempts = job.open.values().filter_map(|&ix| cluster.workers.attempts.get(ix));
     for attempt in attempts {
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -24,7 +24,7 @@
     pub(super) fn observe_missing(
         &mut self,
         ix: MachineIx,
-        received: ReceivedReport,
+        received: ReceivedReport<'_>,
         listed: &[AttemptIx],
         jobs: &Jobs,
         merged: &mut MergedReport,
@@ -50,7 +50,7 @@
 }
 
 impl Attempt {
-    fn observe_missing(&mut self, machine: &Machine, received: ReceivedReport) -> Absence {
+    fn observe_missing(&mut self, machine: &Machine, received: ReceivedReport<'_>) -> Absence {
         if self.agent_epoch < received.report.agent_epoch {
             return Absence::EpochGone;
         }
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -26,7 +26,7 @@
     }
 
     /// Merges a report of a known machine that was not rejected.
-    pub fn merge_report(&mut self, ix: MachineIx, received: ReceivedReport, jobs: &Jobs) -> MergedReport {
+    pub fn merge_report(&mut self, ix: MachineIx, received: ReceivedReport<'_>, jobs: &Jobs) -> MergedReport {
         let Some(machine) = self.machines.get_mut(ix) else {
             return MergedReport::new(Merged::MachineDeleted);
         };
@@ -45,7 +45,7 @@
     }
 
     /// What a report says of the machine itself.
-    fn note_machine(&mut self, ix: MachineIx, received: ReceivedReport) {
+    fn note_machine(&mut self, ix: MachineIx, received: ReceivedReport<'_>) {
         let report_due = received.now + crate::millis(self.longest_report_interval_s()) + LATE_MS;
         let Some(machine) = self.machines.get_mut(ix) else {
             return;
@@ -72,7 +72,7 @@
     fn match_tasks(
         &mut self,
         ix: MachineIx,
-        received: ReceivedReport,
+        received: ReceivedReport<'_>,
         jobs: &Jobs,
         merged: &mut MergedReport,
     ) -> Vec<AttemptIx> {
@@ -141,7 +141,7 @@
     }
 
     /// Its worker dropped all tasks and began anew: it started again, or its lease ran out.
-    fn begin_agent_epoch(&mut self, received: ReceivedReport, lease_expiry_ms: Millis) {
+    fn begin_agent_epoch(&mut self, received: ReceivedReport<'_>, lease_expiry_ms: Millis) {
         let answered_lately = received.now < self.answered_at + lease_expiry_ms / 2;
         if received.path == ReportPath::Heartbeat && self.heard_at.is_some() && answered_lately {
             // Its lease ran out although it was answered: not by us, then.
