--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -8,6 +8,7 @@
 use crate::ids::{GroupIx, JobIx, MachineIx};
 use crate::persistence::{StoredValueError, read_value};
 use crate::pipeline::{ChunkValue, Job, OpenRecord};
+use crate::topology::Offer;
 use crate::wire::Entry;
 use crate::workers::{Attempt, Machine};
 use thiserror::Error;
@@ -48,7 +49,7 @@
             written: true,
             // A start sent under an earlier term may still be on its way.
             unconfirmed_start_term: self.term.saturating_sub(1),
-            ..Machine::new(&name, type_ix, zone, spot, now)
+            ..Machine::new(&name, Offer { type_ix, zone, spot }, now)
         };
         let ix = self.workers.machines.insert(&name, machine);
         if let Some(group) = self.fleet.inventory.groups.get_mut(group_ix) {
--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -3,16 +3,15 @@
 use super::Shard;
 use crate::Millis;
 use crate::ids::MachineIx;
+use crate::topology::Offer;
 use crate::wire::{ListedMachine, Report};
 use crate::workers::{Machine, Outcome};
 
 impl Shard {
     /// A machine that the cloud told of, or one asked for and granted.
     pub fn add_machine(&mut self, now: Millis, name: &str, type_name: &str, zone: &str, spot: bool) -> MachineIx {
-        let type_ix = self.topology.type_ix(type_name);
-        let zone = self.topology.zones.intern(zone);
-        let machine = Machine::new(name, type_ix, zone, spot, now);
-        let ix = self.workers.machines.insert(name, machine);
+        let offer = self.offer(type_name, zone, spot);
+        let ix = self.workers.machines.insert(name, Machine::new(name, offer, now));
         self.add_to_inventory(ix);
         ix
     }
@@ -21,14 +20,22 @@
     /// from a machine returned long ago, so it counts for nothing until the
     /// cloud lists it or it answers a command.
     pub fn add_unverified(&mut self, now: Millis, report: &Report) -> MachineIx {
-        let type_ix = self.topology.type_ix(&report.machine_type);
-        let zone = self.topology.zones.intern(&report.zone);
-        let machine = Machine::new(&report.machine, type_ix, zone, report.spot, now);
+        let offer = self.offer(&report.machine_type, &report.zone, report.spot);
+        let machine = Machine::new(&report.machine, offer, now);
         let ix = self.workers.machines.insert(&report.machine, machine);
         self.workers.delivery_due.insert(ix);
         ix
     }
 
+    /// A way of renting a machine, by the names that the cloud and the workers use.
+    fn offer(&mut self, type_name: &str, zone: &str, spot: bool) -> Offer {
+        Offer {
+            type_ix: self.topology.type_ix(type_name),
+            zone: self.topology.zones.intern(zone),
+            spot,
+        }
+    }
+
     /// The machine is surely there: a successor must know of it.
     pub fn add_to_inventory(&mut self, ix: MachineIx) {
         if let Some(machine) = self.workers.machines.get_mut(ix)
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -4,7 +4,7 @@
 use crate::Millis;
 use crate::controller::Shard;
 use crate::store::Keys;
-use crate::wire::{Change, Condition, ExitReason, Report, TaskState};
+use crate::wire::{Change, Command, Condition, ExitReason, Report, TaskState};
 use crate::workers::{Merged, ReportPath};
 
 const MINUTE: Millis = 60_000;
@@ -135,3 +135,20 @@
     shard.merge_report(20, &copy(8), ReportPath::CommandReply);
     assert!(machine_of(&shard, ix).group.is_some());
 }
+
+/// Guards against closing an attempt twice, and against leaving a task to run that no
+/// open attempt stands for.
+#[test]
+fn an_attempt_listed_twice_ends_once_and_is_then_unmatched() {
+    let (mut shard, machine) = shard();
+    let twice = vec![
+        task(TaskState::Exited, Some(ExitReason::Error)),
+        task(TaskState::Running, None),
+    ];
+    shard.merge_report(10, &report(1, 2, 5, twice.clone()), ReportPath::Heartbeat);
+    assert_eq!(open(&shard), 0);
+    let job = shard.jobs.table.find("j-1").expect("known");
+    assert_eq!(shard.jobs.table.get(job).expect("there").errors, 1);
+    assert_eq!(machine_of(&shard, machine).unmatched_tasks, twice);
+    assert!(matches!(shard.commands(20, machine)[..], [Command::Stop { .. }]));
+}
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -3,6 +3,7 @@
 use crate::pipeline::Jobs;
 use crate::settings::{Settings, tests::SAMPLE};
 use crate::store::JobKey;
+use crate::topology::Offer;
 use crate::wire::{Catalogue, MachineType};
 use crate::workers::Machine;
 use proptest::prelude::*;
@@ -53,7 +54,7 @@
     fn add_empty_machine(&mut self, name: &str, type_name: &str, zone: &str, spot: bool) -> MachineIx {
         let type_ix = self.topology.type_ix(type_name);
         let zone = self.topology.zones.intern(zone);
-        let mut machine = Machine::new(name, type_ix, zone, spot, 0);
+        let mut machine = Machine::new(name, Offer { type_ix, zone, spot }, 0);
         machine.written = true;
         machine.heard_at = Some(0);
         self.workers.machines.insert(name, machine)
--- a/src/workers/image_cache/tests.rs
+++ b/src/workers/image_cache/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::ids::{TypeIx, ZoneIx};
+use crate::topology::Offer;
 use proptest::prelude::*;
 
 proptest! {
@@ -7,7 +8,12 @@
     fn a_cache_stays_within_its_size_and_keeps_the_latest(
         touches in proptest::collection::vec((0u32..8, 1.0f64..30.0), 1..50)
     ) {
-        let mut machine = Machine::new("m", TypeIx(0), ZoneIx(0), false, 0);
+        let offer = Offer {
+            type_ix: TypeIx(0),
+            zone: ZoneIx(0),
+            spot: false,
+        };
+        let mut machine = Machine::new("m", offer, 0);
         for (image, gb) in touches {
             let image = ImageIx(image);
             machine.touch(image, gb, 40.0);
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -87,14 +87,14 @@
 }
 
 impl Machine {
-    /// A machine of which nothing has been heard yet.
-    pub fn new(name: &str, type_ix: TypeIx, zone: ZoneIx, spot: bool, now: Millis) -> Machine {
+    /// A machine rented in this way, of which nothing has been heard yet.
+    pub fn new(name: &str, offer: Offer, now: Millis) -> Machine {
         Machine {
             name: name.into(),
             address: None,
-            type_ix,
-            zone,
-            spot,
+            type_ix: offer.type_ix,
+            zone: offer.zone,
+            spot: offer.spot,
             group: None,
             written: false,
             requested_at: now,
