--- a/src/placement/preemption/victims/tests.rs
+++ b/src/placement/preemption/victims/tests.rs
@@ -83,6 +83,19 @@
     }
 }
 
+/// How many of the candidate's victims, from the first, have to go for one more task.
+fn victims_needed(candidate: &Candidate, cpus: u32) -> Option<usize> {
+    let lower = |victim: &&Victim| victim.priority < Priority::High;
+    let below = candidate.victims.iter().filter(lower).count();
+    (0..=below).find(|&count| {
+        let mut free = candidate.free;
+        for victim in &candidate.victims[..count] {
+            free.add(victim.resources);
+        }
+        free.fits(resources(cpus))
+    })
+}
+
 /// What [`choose_victims`] does, one task at a time and remembering nothing.
 fn plain_choice(mut candidates: Vec<Candidate>, wanted: &[(u32, u32)]) -> Vec<AttemptIx> {
     let mut stops = Vec::new();
@@ -99,17 +112,7 @@
         }
     }
     for cpus in short {
-        let needed = |candidate: &Candidate| {
-            let lower = |victim: &&Victim| victim.priority < Priority::High;
-            let below = candidate.victims.iter().filter(lower).count();
-            (0..=below).find(|&count| {
-                let mut free = candidate.free;
-                for victim in &candidate.victims[..count] {
-                    free.add(victim.resources);
-                }
-                free.fits(resources(cpus))
-            })
-        };
+        let needed = |candidate: &Candidate| victims_needed(candidate, cpus);
         let holders = candidates
             .iter()
             .position(|c| c.images.contains(&IMAGE) && needed(c).is_some());
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,3 +1,5 @@
+//! The settings file: what is read, what is refused, and what follows from it.
+
 use super::connection_limits::{CONNECTION_BYTES, CONNECTIONS_MEMORY_PART};
 use super::lease_timing::{CLOCK_DRIFT, EXPIRY_MARGIN_S, MAX_WATCH_CACHE_AGE_MS};
 use super::*;
