--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -26,6 +26,7 @@
 
 use crate::Millis;
 use crate::peers::{Answer, UserRequest};
+use crate::pipeline::TaskCounts;
 use crate::settings::Limits;
 use crate::store::{EndValue, Keys, WatchCache};
 use crate::wire::{Condition, JobSpec};
@@ -43,15 +44,6 @@
 /// as waiting: the write is create-once, and the leader hears of it by its watch.
 const FORWARD_PATIENCE_MS: Millis = 100;
 
-/// Task counts of an unfinished job, for display.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TaskCounts {
-    /// Tasks that are done.
-    pub done: u32,
-    /// Tasks that run.
-    pub running: u32,
-}
-
 /// What an answer depends on beyond admission's own state.
 pub struct AdmissionContext<'a> {
     /// Time on the monotonic clock.
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -96,7 +96,13 @@
     assert!(!in_flight(&controller) && !controller.term_raise.wants_reload());
     assert_eq!(chunk_version(&controller), 12);
     let shard = controller.shard.as_ref().expect("leads");
-    assert!(shard.workers.attempts.iter().all(|(_, attempt)| attempt.written));
+    assert!(
+        shard
+            .workers
+            .attempts
+            .iter()
+            .all(|(_, attempt)| attempt.record.is_written())
+    );
 }
 
 #[test]
@@ -107,7 +113,13 @@
     assert!(!in_flight(&controller) && !controller.term_raise.wants_reload());
     let shard = controller.shard.as_ref().expect("leads");
     assert!(shard.starts_wait());
-    assert!(shard.workers.attempts.iter().all(|(_, attempt)| !attempt.written));
+    assert!(
+        shard
+            .workers
+            .attempts
+            .iter()
+            .all(|(_, attempt)| !attempt.record.is_written())
+    );
 }
 
 #[test]
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -4,6 +4,7 @@
 use super::{Controller, SHARD, Shard};
 use crate::Millis;
 use crate::peers::{JobTaskCounts, Message};
+use crate::pipeline::TaskCounts;
 use crate::wire::{Report, ReportAnswer};
 use crate::workers::{Merged, ReportPath};
 
@@ -158,7 +159,8 @@
             .iter()
             .filter(|(_, job)| job.ended.is_none())
             .filter_map(|(_, job)| {
-                shard.counts(&job.id).map(|(done, running)| JobTaskCounts {
+                let TaskCounts { done, running } = shard.task_counts(&job.id)?;
+                Some(JobTaskCounts {
                     job: job.id.clone(),
                     done,
                     running,
@@ -181,7 +183,7 @@
             jobs = shard.jobs.table.len(),
             waiting = live_jobs.map(|(_, job)| job.waiting_tasks()).sum::<u32>(),
             open = attempts().count(),
-            unwritten = attempts().filter(|attempt| !attempt.written).count(),
+            unwritten = attempts().filter(|attempt| !attempt.record.is_written()).count(),
             unseen = attempts().filter(|attempt| attempt.observed_state.is_none()).count(),
             machines = shard.workers.machines.len(),
             usable = machines().filter(|machine| machine.usable(self.now)).count(),
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -1,7 +1,7 @@
 //! Users' requests and health checks: admitted here, or forwarded to the leader.
 
 use super::{Controller, Output, Purpose, SHARD};
-use crate::admission::{Admission, AdmissionContext, AdmissionEffect, Requester, TaskCounts, Verdict};
+use crate::admission::{Admission, AdmissionContext, AdmissionEffect, Requester, Verdict};
 use crate::peers::{Answer, Message, PeerLinks, UserRequest};
 use crate::store::{JobKey, StoreRequest};
 use crate::wire::JobSpec;
@@ -19,12 +19,9 @@
         let (catalogue, teams) = (&self.catalogue, &self.settings.params.teams);
         let verdict = |spec: &JobSpec| Verdict::of(spec, teams, catalogue.as_ref());
         let (shard, peers) = (&self.shard, &self.peers);
-        let counts = |id: &str| {
-            let counts = match shard {
-                Some(shard) => shard.counts(id),
-                None => peers.task_counts(id),
-            };
-            counts.map(|(done, running)| TaskCounts { done, running })
+        let counts = |id: &str| match shard {
+            Some(shard) => shard.task_counts(id),
+            None => peers.task_counts(id),
         };
         let context = AdmissionContext {
             now: self.now,
--- a/src/controller/shard/jobs.rs
+++ b/src/controller/shard/jobs.rs
@@ -3,6 +3,7 @@
 use super::Shard;
 use crate::Millis;
 use crate::ids::JobIx;
+use crate::pipeline::TaskCounts;
 use crate::store::JobKey;
 use crate::wire::{JobState, TaskState};
 
@@ -72,7 +73,7 @@
     }
 
     /// Tasks done and on machines, for display.
-    pub fn counts(&self, id: &str) -> Option<(u32, u32)> {
+    pub fn task_counts(&self, id: &str) -> Option<TaskCounts> {
         let job = self.jobs.find(id)?;
         let is_running = |ix| {
             let attempt = self.workers.attempts.get(ix);
@@ -80,6 +81,9 @@
             matches!(observed_state, Some(TaskState::Running | TaskState::Saving))
         };
         let running = job.open.values().filter(|&&ix| is_running(ix)).count();
-        Some((job.done.len(), running as u32))
+        Some(TaskCounts {
+            done: job.done.len(),
+            running: running as u32,
+        })
     }
 }
--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -10,7 +10,7 @@
 use crate::pipeline::{ChunkValue, Job, OpenRecord};
 use crate::topology::Offer;
 use crate::wire::Entry;
-use crate::workers::{Attempt, Machine};
+use crate::workers::{Attempt, Machine, RecordState};
 use thiserror::Error;
 
 /// Why a key of the former leader can't be taken over.
@@ -134,20 +134,11 @@
 /// An attempt as far as its record tells.
 fn loaded_attempt(job_ix: JobIx, job: &Job, machine: MachineIx, record: &OpenRecord) -> Attempt {
     Attempt {
-        job: job_ix,
-        task: record.task,
-        number: record.attempt,
-        machine,
-        agent_epoch: record.agent_epoch,
-        written: true,
-        writing: false,
-        observed_state: None,
+        record: RecordState::Written,
         // Nobody knows any more; what may have run long is not to be
         // stopped as if it had just begun.
         running_since: Some(0),
-        start_sent: None,
-        start_answered: false,
         stop: job.ended.is_some().then_some(0.0),
-        withdrawn: false,
+        ..Attempt::new(job_ix, record.task, record.attempt, machine, record.agent_epoch)
     }
 }
--- a/src/controller/shard/tests/scheduling.rs
+++ b/src/controller/shard/tests/scheduling.rs
@@ -4,6 +4,7 @@
 use crate::ids::{AttemptIx, JobIx, MachineIx};
 use crate::placement::PREEMPTION_INTERVAL_MS;
 use crate::wire::TaskState;
+use crate::workers::RecordState;
 
 impl Shard {
     /// Opens an attempt of a task on a machine, whatever placement would choose.
@@ -47,7 +48,7 @@
     let attempts: Vec<AttemptIx> = shard.workers.attempts.iter().map(|(ix, _)| ix).collect();
     for ix in attempts {
         let attempt = shard.workers.attempts.get_mut(ix).expect("there");
-        attempt.written = true;
+        attempt.record = RecordState::Written;
         attempt.observed_state = Some(TaskState::Running);
         attempt.running_since = Some(NOW - 300_000);
     }
--- a/src/controller/shard/tests/transactions.rs
+++ b/src/controller/shard/tests/transactions.rs
@@ -67,10 +67,22 @@
     let transaction = next(&mut shard, MAX_CHANGES).expect("due");
     assert_eq!(put_keys(&transaction), [keys().firing("j-1", 0)]);
     assert!(next(&mut shard, MAX_CHANGES).is_none(), "one is in flight");
-    assert!(shard.workers.attempts.iter().all(|(_, attempt)| !attempt.written));
+    assert!(
+        shard
+            .workers
+            .attempts
+            .iter()
+            .all(|(_, attempt)| !attempt.record.is_written())
+    );
     shard.workers.delivery_due.clear();
     shard.committed(10_000, 7);
-    assert!(shard.workers.attempts.iter().all(|(_, attempt)| attempt.written));
+    assert!(
+        shard
+            .workers
+            .attempts
+            .iter()
+            .all(|(_, attempt)| attempt.record.is_written())
+    );
     assert_eq!(shard.workers.delivery_due.len(), 1);
     assert!(!shard.starts_wait());
 }
--- a/src/controller/shard/tests/worker_fixture.rs
+++ b/src/controller/shard/tests/worker_fixture.rs
@@ -4,7 +4,7 @@
 use crate::controller::{Shard, shard_with};
 use crate::ids::MachineIx;
 use crate::wire::{ExitReason, Report, TaskReport, TaskState};
-use crate::workers::{Machine, ReportPath};
+use crate::workers::{Machine, RecordState, ReportPath};
 
 /// A shard of term 5 with one machine heard in agent epoch 1 and one job of a
 /// single task placed and written there.
@@ -23,7 +23,7 @@
     known.report_due = Millis::MAX;
     shard.place(0);
     let attempt = machine_of(&shard, machine).open[0];
-    shard.workers.attempts.get_mut(attempt).expect("open").written = true;
+    shard.workers.attempts.get_mut(attempt).expect("open").record = RecordState::Written;
     (shard, machine)
 }
 
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -3,6 +3,7 @@
 
 use super::JobTaskCounts;
 use crate::Millis;
+use crate::pipeline::TaskCounts;
 use std::collections::BTreeMap;
 
 /// How often controllers send heartbeats.
@@ -41,7 +42,17 @@
     /// Of the controllers in reach, which to choose next.
     next_choice: usize,
     /// What the leader last told, by job: tasks done and running.
-    task_counts: BTreeMap<String, (u32, u32)>,
+    task_counts: BTreeMap<String, TaskCounts>,
+}
+
+impl JobTaskCounts {
+    fn into_entry(self) -> (String, TaskCounts) {
+        let counts = TaskCounts {
+            done: self.done,
+            running: self.running,
+        };
+        (self.job, counts)
+    }
 }
 
 impl PeerLinks {
@@ -146,11 +157,11 @@
     /// Takes the leader's task counts in place of all earlier ones.
     pub fn set_task_counts(&mut self, counts: Vec<JobTaskCounts>) {
         let counts = counts.into_iter();
-        self.task_counts = counts.map(|count| (count.job, (count.done, count.running))).collect();
+        self.task_counts = counts.map(JobTaskCounts::into_entry).collect();
     }
 
     /// Tasks done and running of a job, as the leader last told.
-    pub fn task_counts(&self, job: &str) -> Option<(u32, u32)> {
+    pub fn task_counts(&self, job: &str) -> Option<TaskCounts> {
         self.task_counts.get(job).copied()
     }
 
--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -7,7 +7,7 @@
 use crate::ids::ChunkId;
 use crate::pipeline::{ChunkValue, Job, OpenRecord};
 use crate::wire::Change;
-use crate::workers::{Attempts, Workers};
+use crate::workers::{Attempts, CommittedRecord, Workers};
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -98,7 +98,7 @@
             job.chunks[id.number as usize].write_failed();
             for &attempt in job.open.values() {
                 if let Some(attempt) = context.workers.attempts.get_mut(attempt) {
-                    attempt.writing = false;
+                    attempt.record.write_failed();
                 }
             }
             self.queue_start(id);
@@ -115,7 +115,7 @@
         let Some(machine) = workers.machines.get(attempt.machine) else {
             continue;
         };
-        if !attempt.withdrawn {
+        if !attempt.record.is_withdrawn() {
             open.push(OpenRecord {
                 task,
                 attempt: attempt.number,
@@ -134,10 +134,8 @@
 /// The records of these tasks' attempts, or that they are gone, are being written.
 fn mark_in_flight(job: &Job, tasks: Range<u32>, attempts: &mut Attempts) {
     for (_, &attempt) in job.open.range(tasks) {
-        if let Some(attempt) = attempts.get_mut(attempt)
-            && (!attempt.written || attempt.withdrawn)
-        {
-            attempt.writing = true;
+        if let Some(attempt) = attempts.get_mut(attempt) {
+            attempt.record.start_write();
         }
     }
 }
@@ -155,15 +153,15 @@
 /// Written attempts may start; those that were withdrawn are over.
 fn attempts_committed(job: &Job, tasks: Range<u32>, attempts: &mut Attempts, effects: &mut Committed) {
     for (_, &ix) in job.open.range(tasks) {
-        let Some(attempt) = attempts.get_mut(ix).filter(|attempt| attempt.writing) else {
+        let Some(attempt) = attempts.get_mut(ix) else {
             continue;
         };
-        attempt.writing = false;
-        if attempt.withdrawn {
-            effects.withdrawn_attempts.push(ix);
-        } else {
-            attempt.written = true;
-            effects.delivery_due.insert(attempt.machine);
+        match attempt.record.write_committed() {
+            Some(CommittedRecord::Written) => {
+                effects.delivery_due.insert(attempt.machine);
+            }
+            Some(CommittedRecord::Removed) => effects.withdrawn_attempts.push(ix),
+            None => {}
         }
     }
 }
--- a/src/pipeline/mod.rs
+++ b/src/pipeline/mod.rs
@@ -10,6 +10,7 @@
 mod job_builder;
 mod jobs;
 mod quota;
+mod task_counts;
 mod task_set;
 mod trigger;
 
@@ -18,5 +19,6 @@
 pub use job_builder::JobError;
 pub use jobs::Jobs;
 pub use quota::TeamQuota;
+pub use task_counts::TaskCounts;
 pub use task_set::TaskSet;
 pub use trigger::BySet;
--- a/src/placement/opening.rs
+++ b/src/placement/opening.rs
@@ -14,21 +14,8 @@
         let job = self.jobs.table.get_mut(job_ix)?;
         let machine = self.workers.machines.get_mut(machine_ix)?;
         let chunk_number = job.chunk_of(task, self.jobs.chunk_tasks);
-        let attempt = Attempt {
-            job: job_ix,
-            task,
-            number: take_attempt_number(job, chunk_number),
-            machine: machine_ix,
-            agent_epoch: machine.agent_epoch,
-            written: false,
-            writing: false,
-            observed_state: None,
-            running_since: None,
-            start_sent: None,
-            start_answered: false,
-            stop: None,
-            withdrawn: false,
-        };
+        let number = take_attempt_number(job, chunk_number);
+        let attempt = Attempt::new(job_ix, task, number, machine_ix, machine.agent_epoch);
         take_task(job, task, self.now.wall_clock);
         self.jobs.team_quotas[job.team.usize()].used.add(job.shape.resources);
         take_room(machine, job, self.topology);
--- a/src/placement/preemption/mod.rs
+++ b/src/placement/preemption/mod.rs
@@ -70,7 +70,7 @@
 impl StopMode {
     /// How an attempt of this job is stopped. `None`: the job is not known any more.
     pub fn new(attempt: &Attempt, job: Option<&Job>) -> StopMode {
-        if !attempt.written && !attempt.writing {
+        if attempt.is_only_planned() {
             return StopMode::Withdraw;
         }
         let is_running = attempt.observed_state == Some(TaskState::Running);
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -1,6 +1,6 @@
 //! Open attempts that their machine's newest report does not list.
 
-use super::{Attempt, Machine, MergedReport, Outcome, ReceivedReport, Workers};
+use super::{Attempt, Machine, MergedReport, Outcome, ReceivedReport, RecordState, Workers};
 use crate::ids::{AttemptIx, ChunkId, MachineIx};
 use crate::pipeline::Jobs;
 
@@ -55,7 +55,7 @@
             return Absence::EpochGone;
         }
         self.observe_absence();
-        let unwanted = self.stop.is_some() && self.written;
+        let unwanted = self.stop.is_some() && self.record.is_written();
         if !unwanted || !self.is_answered_start_dead(received.now) {
             return Absence::ProvesNothing;
         }
@@ -77,8 +77,8 @@
             merged.end(ix, Outcome::Lost);
             return;
         };
-        if !self.withdrawn {
-            self.withdrawn = true;
+        if !self.record.is_withdrawn() {
+            self.record = RecordState::Withdrawn;
             merged.chunks_to_rewrite.push(ChunkId {
                 job: self.job,
                 number: job.chunk_of(self.task, jobs.chunk_tasks) as u32,
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -43,6 +43,77 @@
     pub outcome: Outcome,
 }
 
+/// How the record of an attempt in the state service stands. Only a written attempt may
+/// start. One that is proven never to start keeps its room until its record is gone: a new
+/// leader would read the record and start it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RecordState {
+    /// Nobody else knows of the attempt.
+    Planned,
+    /// In the transaction in flight.
+    BeingWritten,
+    /// Known to be in the state service.
+    Written,
+    /// Written, and to be removed since the attempt never starts.
+    Withdrawn,
+    /// Its removal is in the transaction in flight.
+    BeingRemoved,
+}
+
+/// What a committed transaction made of a record that it held.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CommittedRecord {
+    /// The record is in the state service now.
+    Written,
+    /// The record is gone.
+    Removed,
+}
+
+impl RecordState {
+    /// Whether the state service is known to hold the record.
+    pub fn is_written(self) -> bool {
+        matches!(
+            self,
+            RecordState::Written | RecordState::Withdrawn | RecordState::BeingRemoved
+        )
+    }
+
+    /// Whether the attempt is proven never to start.
+    pub fn is_withdrawn(self) -> bool {
+        matches!(self, RecordState::Withdrawn | RecordState::BeingRemoved)
+    }
+
+    /// A transaction that writes the chunk's records as they stand is sent.
+    pub fn start_write(&mut self) {
+        *self = match *self {
+            RecordState::Planned | RecordState::BeingWritten => RecordState::BeingWritten,
+            RecordState::Written => RecordState::Written,
+            RecordState::Withdrawn | RecordState::BeingRemoved => RecordState::BeingRemoved,
+        };
+    }
+
+    /// The transaction in flight was surely not applied.
+    pub fn write_failed(&mut self) {
+        *self = match *self {
+            RecordState::Planned | RecordState::BeingWritten => RecordState::Planned,
+            RecordState::Written => RecordState::Written,
+            RecordState::Withdrawn | RecordState::BeingRemoved => RecordState::Withdrawn,
+        };
+    }
+
+    /// The transaction in flight was applied. `None`: it did not change this record.
+    pub fn write_committed(&mut self) -> Option<CommittedRecord> {
+        match *self {
+            RecordState::BeingWritten => {
+                *self = RecordState::Written;
+                Some(CommittedRecord::Written)
+            }
+            RecordState::BeingRemoved => Some(CommittedRecord::Removed),
+            RecordState::Planned | RecordState::Written | RecordState::Withdrawn => None,
+        }
+    }
+}
+
 /// An attempt at a task, on one machine.
 #[derive(Debug)]
 pub struct Attempt {
@@ -56,10 +127,8 @@
     pub machine: MachineIx,
     /// The agent epoch of the worker that it was placed for.
     pub agent_epoch: u64,
-    /// Its firing is known to be in the state service; only then may it start.
-    pub written: bool,
-    /// In the transaction now in flight.
-    pub writing: bool,
+    /// How its record in the state service stands.
+    pub record: RecordState,
     /// State in the newest report; `None` while no report has shown it.
     pub observed_state: Option<TaskState>,
     /// When a report first showed it running.
@@ -70,9 +139,6 @@
     pub start_answered: bool,
     /// Asked to stop, with this much time to save.
     pub stop: Option<f64>,
-    /// Proven never to start. It keeps its room until its record is gone from the
-    /// state service: a new leader would read it there and start it.
-    pub withdrawn: bool,
 }
 
 impl Attempt {
@@ -84,26 +150,24 @@
             number,
             machine,
             agent_epoch,
-            written: false,
-            writing: false,
+            record: RecordState::Planned,
             observed_state: None,
             running_since: None,
             start_sent: None,
             start_answered: false,
             stop: None,
-            withdrawn: false,
         }
     }
 
     /// Its firing is neither written nor in the transaction in flight: nobody else
     /// knows of it, and it can be dropped at once.
     pub fn is_only_planned(&self) -> bool {
-        !self.written && !self.writing
+        self.record == RecordState::Planned
     }
 
     /// It may start, no report has shown it yet, and it is still wanted.
     pub fn is_start_due(&self) -> bool {
-        self.written && self.observed_state.is_none() && self.stop.is_none()
+        self.record.is_written() && self.observed_state.is_none() && self.stop.is_none()
     }
 
     /// A report lists it in this state.
@@ -130,3 +194,6 @@
         self.running_since.map_or(0.0, |since| (now - since) as f64 / 1000.0)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -22,7 +22,7 @@
             let Some(attempt) = self.attempts.get_mut(open) else {
                 continue;
             };
-            if !attempt.written || attempt.agent_epoch != machine.agent_epoch {
+            if !attempt.record.is_written() || attempt.agent_epoch != machine.agent_epoch {
                 continue;
             }
             let Some(job) = jobs.table.get(attempt.job) else {
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -23,7 +23,7 @@
 mod report;
 mod task_name;
 
-pub use attempt::{Attempt, EndedAttempt, Outcome};
+pub use attempt::{Attempt, CommittedRecord, EndedAttempt, Outcome, RecordState};
 pub use attempts::Attempts;
 #[cfg(test)]
 pub(crate) use attribution::FAILING_JOBS;
