--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -43,7 +43,7 @@
     }
 
     /// The state service answered the transaction in flight, or did not in time.
-    pub(super) fn commit_answered(&mut self, request: &StoreRequest, reply: StoreReply) {
+    pub(super) fn on_commit_reply(&mut self, request: &StoreRequest, reply: StoreReply) {
         match reply {
             StoreReply::Committed { revision } => self.commit_applied(revision),
             StoreReply::Conflict { failed } => self.commit_conflicted(request, &failed),
@@ -110,7 +110,7 @@
     /// The key was read that tells whether an earlier copy was applied, after the last
     /// one conflicted. That conflict is for good, since versions only rise: a copy not
     /// applied by now never will be.
-    pub(super) fn commit_checked(&mut self, evidence: Evidence, reply: &StoreReply) {
+    pub(super) fn on_commit_checked(&mut self, evidence: Evidence, reply: &StoreReply) {
         if matches!(reply, StoreReply::Unanswered | StoreReply::Unavailable) {
             let request = StoreRequest::Get(evidence.key.clone());
             self.enqueue_after(RETRY_MS, Purpose::CheckCommit(evidence), request);
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -1,6 +1,7 @@
 use super::super::{Output, shard_with};
 use super::*;
 use crate::Millis;
+use crate::fleet::DueGroups;
 use crate::policy::Policy;
 use crate::settings::{Settings, tests::SAMPLE};
 use crate::wire::{Change, JobState, Transaction};
@@ -19,7 +20,9 @@
     machine.written = true;
     machine.heard_at = Some(START);
     machine.report_due = Millis::MAX;
-    shard.fleet.inventory.urgent.clear();
+    for group in shard.fleet.inventory.due(DueGroups::Urgent) {
+        shard.fleet.inventory.write_started(group);
+    }
     shard.place(START);
     controller.now = START;
     controller.shard = Some(shard);
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -54,15 +54,15 @@
         }
         let requester = Requester::Peer { node, id };
         // Never forwarded twice.
-        let wants =
+        let effects =
             self.with_admission(|admission, context, _| admission.handle(context, requester, user_request, None));
-        self.apply_effects(wants);
+        self.apply_effects(effects);
     }
 
     fn on_forward_reply(&mut self, id: u64, answer: Answer) {
-        if let Some(op) = self.forwarded_requests.take(id) {
-            let wants = self.admission.forwarded(op, answer);
-            self.apply_effects(wants);
+        if let Some(pending_id) = self.forwarded_requests.take(id) {
+            let effects = self.admission.forwarded(pending_id, answer);
+            self.apply_effects(effects);
         }
     }
 
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -69,9 +69,9 @@
         });
     }
 
-    fn forward(&mut self, op: u64, node: String, user_request: UserRequest) {
+    fn forward(&mut self, pending_id: u64, node: String, user_request: UserRequest) {
         let id = self.peer_request_ids.next();
-        self.forwarded_requests.add(id, op);
+        self.forwarded_requests.add(id, pending_id);
         let message = Message::ForwardRequest {
             shard: SHARD.into(),
             id,
@@ -92,17 +92,17 @@
     pub(super) fn on_user_request(&mut self, request: u64, user_request: UserRequest) {
         let forward = self.forward_to(&user_request);
         let requester = Requester::User(request);
-        let wants =
+        let effects =
             self.with_admission(|admission, context, _| admission.handle(context, requester, user_request, forward));
-        self.apply_effects(wants);
+        self.apply_effects(effects);
     }
 
     /// Gives up what admission has waited for long enough.
     pub(super) fn tick_admission(&mut self) {
-        let wants = self.with_admission(|admission, context, peers| {
+        let effects = self.with_admission(|admission, context, peers| {
             admission.tick(context, &|node| peers.is_in_reach(context.now, node))
         });
-        self.apply_effects(wants);
+        self.apply_effects(effects);
     }
 
     /// Who should answer: the leader takes submissions and cancels; any other
--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -52,9 +52,7 @@
             ..Machine::new(&name, Offer { type_ix, zone, spot }, now)
         };
         let ix = self.workers.machines.insert(&name, machine);
-        if let Some(group) = self.fleet.inventory.groups.get_mut(group_ix) {
-            group.members.insert(ix);
-        }
+        self.fleet.inventory.add_member(group_ix, ix);
     }
 
     /// Takes over a machine request, to be sent again until it is answered.
--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -92,6 +92,6 @@
         };
         self.add_to_inventory(ix);
         let group_to_rewrite = self.workers.note_listed(now, ix, listed);
-        self.fleet.inventory.late.extend(group_to_rewrite);
+        self.fleet.inventory.address_changed(group_to_rewrite);
     }
 }
--- a/src/controller/shard/reports.rs
+++ b/src/controller/shard/reports.rs
@@ -34,7 +34,7 @@
 
     /// Applies what follows from a report for jobs, teams and the inventory.
     fn apply_report(&mut self, now: Millis, merged: MergedReport) -> Merged {
-        self.fleet.inventory.late.extend(merged.group_to_rewrite);
+        self.fleet.inventory.address_changed(merged.group_to_rewrite);
         for ended in merged.ended {
             self.close(now, ended.attempt, ended.outcome);
         }
--- a/src/controller/shard/tests/transactions.rs
+++ b/src/controller/shard/tests/transactions.rs
@@ -2,7 +2,7 @@
 //! outcome.
 
 use super::*;
-use crate::fleet::MachineRequestRecord;
+use crate::fleet::{DueGroups, MachineRequestRecord};
 use crate::ids::AttemptIx;
 use crate::persistence::AnsweredRequest;
 use crate::store::Keys;
@@ -24,7 +24,9 @@
     machine.written = true;
     machine.heard_at = Some(0);
     machine.report_due = Millis::MAX;
-    shard.fleet.inventory.urgent.clear();
+    for group in shard.fleet.inventory.due(DueGroups::Urgent) {
+        shard.fleet.inventory.write_started(group);
+    }
     shard.place(0);
     assert_eq!(open(&shard).len(), tasks as usize);
     shard
--- a/src/controller/shard/transactions.rs
+++ b/src/controller/shard/transactions.rs
@@ -12,7 +12,7 @@
 impl Shard {
     /// Whether something is to be written that work or users wait for.
     pub fn starts_wait(&self) -> bool {
-        self.pending_writes.is_urgent() || !self.fleet.inventory.urgent.is_empty()
+        self.pending_writes.is_urgent() || self.fleet.inventory.has_urgent()
     }
 
     /// Builds the next transaction, if there is anything to write and none is
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -52,22 +52,22 @@
             Purpose::Watch => self.on_watch_reply(reply),
             Purpose::Refresh { admission_read, sent } => self.on_refreshed(admission_read, sent, reply),
             Purpose::Load(stage) => self.on_load_reply(stage, request, reply),
-            Purpose::Commit => self.commit_answered(request, reply),
-            Purpose::CheckCommit(evidence) => self.commit_checked(evidence, &reply),
-            Purpose::ReadEnd(op) => {
-                let wants = self.admission.end_read(op, &reply);
-                self.apply_effects(wants);
+            Purpose::Commit => self.on_commit_reply(request, reply),
+            Purpose::CheckCommit(evidence) => self.on_commit_checked(evidence, &reply),
+            Purpose::ReadEnd(pending_id) => {
+                let effects = self.admission.end_read(pending_id, &reply);
+                self.apply_effects(effects);
             }
-            Purpose::Write(op) => self.on_user_write_reply(op, request, &reply),
+            Purpose::Write(pending_id) => self.on_user_write_reply(pending_id, request, &reply),
             Purpose::Catalogue | Purpose::Resign => {}
         }
     }
 
-    fn on_user_write_reply(&mut self, op: u64, request: &StoreRequest, reply: &StoreReply) {
+    fn on_user_write_reply(&mut self, pending_id: u64, request: &StoreRequest, reply: &StoreReply) {
         if let StoreReply::Conflict { failed } = reply {
             self.check_claim_in(request, failed);
         }
-        let wants = self.with_admission(|admission, context, _| admission.written(context, op, reply));
-        self.apply_effects(wants);
+        let effects = self.with_admission(|admission, context, _| admission.written(context, pending_id, reply));
+        self.apply_effects(effects);
     }
 }
--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -88,11 +88,11 @@
 #[derive(Debug, Default)]
 pub struct Inventory {
     /// All groups that have members or a key.
-    pub groups: Table<GroupIx, Group>,
+    groups: Table<GroupIx, Group>,
     /// Groups with machines that can't be used until they are written.
-    pub urgent: BTreeSet<GroupIx>,
+    urgent: BTreeSet<GroupIx>,
     /// Groups whose key only says too much, or lacks an address.
-    pub late: BTreeSet<GroupIx>,
+    late: BTreeSet<GroupIx>,
     /// Members a key holds at most.
     capacity: usize,
     /// The group that new machines are put into.
@@ -110,6 +110,11 @@
         }
     }
 
+    /// A group that has members or a key.
+    pub fn group(&self, ix: GroupIx) -> Option<&Group> {
+        self.groups.get(ix)
+    }
+
     /// Puts a machine into a group that has room, under `term`'s own names.
     pub fn add(&mut self, term: u64, machine: MachineIx) -> GroupIx {
         let with_room = self.filling.filter(|&ix| {
--- a/src/persistence/inventory_groups.rs
+++ b/src/persistence/inventory_groups.rs
@@ -2,7 +2,7 @@
 
 use super::WriteContext;
 use super::next_transaction::Draft;
-use crate::fleet::{Group, GroupValue, InventoryMember};
+use crate::fleet::{DueGroups, Group, GroupValue, InventoryMember};
 use crate::ids::{GroupIx, MachineIx};
 use crate::topology::Topology;
 use crate::wire::Change;
@@ -24,21 +24,20 @@
 
 /// Groups with machines that can't be used until they are written.
 pub(super) fn add_urgent_groups(context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
-    let due = context.inventory.urgent.clone();
+    let due = context.inventory.due(DueGroups::Urgent);
     add_groups(due, context, draft);
 }
 
 /// All groups whose keys do not say what they should.
 pub(super) fn add_all_groups(context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
-    let mut due = context.inventory.urgent.clone();
-    due.extend(&context.inventory.late);
+    let due = context.inventory.due(DueGroups::All);
     add_groups(due, context, draft);
 }
 
 fn add_groups(due: BTreeSet<GroupIx>, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
     for ix in due {
-        let Some(group) = context.inventory.groups.get(ix) else {
-            unqueue(ix, context);
+        let Some(group) = context.inventory.group(ix) else {
+            context.inventory.write_started(ix);
             continue;
         };
         let bytes = GROUP_BYTES + group.members.len() * MEMBER_BYTES;
@@ -51,15 +50,10 @@
             let written = add_group(ix, group, bytes, context, draft);
             draft.content.groups.push(written);
         }
-        unqueue(ix, context);
+        context.inventory.write_started(ix);
     }
 }
 
-fn unqueue(ix: GroupIx, context: &mut WriteContext<'_>) {
-    context.inventory.urgent.remove(&ix);
-    context.inventory.late.remove(&ix);
-}
-
 fn add_group(
     ix: GroupIx,
     group: &Group,
@@ -103,12 +97,10 @@
 pub(super) fn groups_committed(groups: Vec<WrittenGroup>, context: &mut WriteContext<'_>, revision: u64) {
     for WrittenGroup { group: ix, machines } in groups {
         if machines.is_empty() {
-            group_deleted(ix, context);
+            context.inventory.deleted(ix);
             continue;
         }
-        if let Some(group) = context.inventory.groups.get_mut(ix) {
-            group.version = revision;
-        }
+        context.inventory.written(ix, revision);
         for name in machines {
             mark_written(&name, context.workers);
         }
@@ -122,16 +114,9 @@
     }
 }
 
-/// A group's key is deleted. Machines may have joined it meanwhile.
-fn group_deleted(ix: GroupIx, context: &mut WriteContext<'_>) {
-    match context.inventory.groups.get_mut(ix) {
-        Some(group) if !group.members.is_empty() => group.version = 0,
-        _ => context.inventory.forget(ix),
-    }
-}
-
 /// The keys of these groups are as they were.
 pub(super) fn groups_not_applied(groups: &[WrittenGroup], context: &mut WriteContext<'_>) {
-    let groups = groups.iter().map(|written| written.group);
-    context.inventory.urgent.extend(groups);
+    context
+        .inventory
+        .write_again(groups.iter().map(|written| written.group));
 }
--- a/src/persistence/machine_requests.rs
+++ b/src/persistence/machine_requests.rs
@@ -51,7 +51,7 @@
 
     /// A machine request's key goes only after the machines it brought are written.
     pub(super) fn add_answered_requests(&mut self, context: &WriteContext<'_>, draft: &mut Draft<'_>) {
-        while context.inventory.urgent.is_empty() && draft.builder.has_space(1, DELETE_BYTES) {
+        while !context.inventory.has_urgent() && draft.builder.has_space(1, DELETE_BYTES) {
             let Some(answered) = self.answered_requests.pop_front() else {
                 return;
             };
