--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -41,8 +41,8 @@
         };
         let all_due = shard.due_commands(self.now, available);
         let mut by_peer: BTreeMap<String, Vec<AddressedCommands>> = BTreeMap::new();
-        for due in all_due {
-            let peer = self.peer_to_deliver(due.relayed_by.as_deref());
+        for mut due in all_due {
+            let peer = self.peer_to_deliver(due.relayed_by.take());
             let AddressedCommands { id, address, commands } = self.start_delivery(due);
             match peer {
                 Some(node) => by_peer
@@ -85,11 +85,10 @@
     }
 
     /// The peer to hand commands to: the one that the worker reports to, or any.
-    fn peer_to_deliver(&mut self, relayed_by: Option<&str>) -> Option<String> {
-        match relayed_by {
-            Some(node) if self.peers.is_in_reach(self.now, node) => Some(node.to_owned()),
-            _ => self.peers.next_in_reach(self.now),
-        }
+    fn peer_to_deliver(&mut self, relayed_by: Option<String>) -> Option<String> {
+        relayed_by
+            .filter(|node| self.peers.is_in_reach(self.now, node))
+            .or_else(|| self.peers.next_in_reach(self.now))
     }
 
     /// What a peer holds for too long counts as lost: it may still arrive.
