--- a/src/election/claim.rs
+++ b/src/election/claim.rs
@@ -2,7 +2,7 @@
 
 use super::{LeaderElection, Phase};
 use crate::Millis;
-use crate::store::{Keys, LeaderValue, WatchCache};
+use crate::store::{Keys, LeaderValue, TermValue, WatchCache};
 use crate::wire::{Change, Condition, Transaction};
 use serde_json::json;
 
@@ -62,7 +62,7 @@
                     value: json!(value),
                     lease: self.lease,
                 },
-                Change::put(keys.term(), json!({ "term": self.term })),
+                Change::put(keys.term(), json!(TermValue { term: self.term })),
             ],
         }
     }
--- a/src/persistence/finished_jobs.rs
+++ b/src/persistence/finished_jobs.rs
@@ -5,7 +5,7 @@
 use super::{PendingWrites, WriteContext};
 use crate::ids::JobIx;
 use crate::pipeline::Job;
-use crate::store::{JobKey, Keys};
+use crate::store::{EndValue, JobKey, Keys};
 use crate::wire::{Change, JobState};
 use serde_json::json;
 
@@ -44,7 +44,10 @@
 fn add_end(job: &Job, keys: &Keys, builder: &mut TransactionBuilder) {
     builder.require(keys.job(&job.id), job.key_version);
     builder.require(keys.end(&job.id), 0);
-    let end = json!({"state": JobState::Done, "done": job.spec.tasks});
+    let end = json!(EndValue {
+        state: JobState::Done,
+        done: job.spec.tasks,
+    });
     builder.change(Change::put(keys.end(&job.id), end), END_BYTES);
     // The job key goes last, when the rest has been cleaned up: until
     // then it says how the job ended.
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -10,5 +10,5 @@
 pub use keys::{Keys, tail};
 pub use requests::{StoreReply, StoreRequest};
 pub use token_bucket::TokenBucket;
-pub use values::{EndValue, JobKey, LeaderValue};
+pub use values::{EndValue, JobKey, LeaderValue, TermValue};
 pub use watch_cache::{WatchCache, WatchedChange};
--- a/src/store/values.rs
+++ b/src/store/values.rs
@@ -28,6 +28,13 @@
     pub ended: Option<JobState>,
 }
 
+/// The value of the term key: the highest term that was ever claimed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct TermValue {
+    /// The term, which is the fencing token of its leader.
+    pub term: u64,
+}
+
 /// How a job ended.
 // A count of 0 is left out, as it is of cancelled jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -1,6 +1,6 @@
 //! The watch cache: a copy of the watched keys, kept by every controller.
 
-use super::{JobKey, Keys, LeaderValue};
+use super::{JobKey, Keys, LeaderValue, TermValue};
 use crate::wire::{Event, Page};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -189,8 +189,9 @@
             return Some(WatchedChange::Leader);
         }
         if key == keys.term() {
-            let term = value.get("term").and_then(Value::as_u64);
-            self.term = (term.unwrap_or(0), version);
+            let term = serde_json::from_value::<TermValue>(value).map_or(0, |stored| stored.term);
+            self.term = (term, version);
+            return None;
         }
         if key == keys.catalogue() {
             self.catalogue = Some(value);
