--- a/src/admission/confirmations.rs
+++ b/src/admission/confirmations.rs
@@ -38,7 +38,7 @@
 
 impl Admission {
     /// Number of the confirming read to send now, if any; it then counts as sent.
-    pub fn take_sync(&mut self) -> Option<u64> {
+    pub fn take_confirming_read(&mut self) -> Option<u64> {
         self.confirming_reads.take_next()
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// The confirming read with this number came back, and the watch cache took it in.
-    pub fn synced(&mut self, context: &AdmissionContext<'_>, number: u64) -> Vec<AdmissionEffect> {
+    pub fn confirming_read_done(&mut self, context: &AdmissionContext<'_>, number: u64) -> Vec<AdmissionEffect> {
         let mut effects = Vec::new();
         for request_id in self.served_by(number) {
             effects.extend(self.confirmed(context, request_id));
@@ -59,7 +59,7 @@
     }
 
     /// The confirming read with this number failed.
-    pub fn sync_failed(&mut self, number: u64) -> Vec<AdmissionEffect> {
+    pub fn confirming_read_failed(&mut self, number: u64) -> Vec<AdmissionEffect> {
         let mut effects = Vec::new();
         for request_id in self.served_by(number) {
             effects.extend(self.finish(request_id, Unavailable::StateServiceUnreachable.answer()));
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -236,7 +236,7 @@
         let Some(shard) = &mut self.shard else {
             return;
         };
-        shard.listed(now, &list.machines, !list.more);
+        shard.listed(now, list);
         match list.machines.last() {
             Some(last) if list.more => {
                 self.cloud.list_after = last.id.clone();
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -186,7 +186,7 @@
         self.advance_watch_cache();
         self.advance_election();
         self.advance_leader();
-        if let Some(read) = self.admission.take_sync() {
+        if let Some(read) = self.admission.take_confirming_read() {
             self.confirm_for_admission(read);
         }
         self.send_queued();
--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -61,7 +61,7 @@
         if let Some(chunk) = job.chunks.get_mut(number) {
             chunk.mark_changed();
         }
-        self.pending_writes.queue_chunk(ChunkId {
+        self.pending_writes.queue_deferrable_chunk(ChunkId {
             job: attempt.job,
             number: number as u32,
         });
@@ -98,9 +98,9 @@
         }
     }
 
-    /// After a transaction that was surely not applied: drops what was planned
-    /// for jobs that have ended since.
-    pub fn drop_unwritten(&mut self, now: Millis) {
+    /// For jobs that were cancelled while a transaction was in flight: drops the attempts
+    /// that are only planned, and stops all others.
+    pub fn drop_planned_attempts(&mut self, now: Millis) {
         for ix in self.jobs.table.indices() {
             let job = self.jobs.table.get(ix);
             if job.is_some_and(|job| job.ended == Some(JobState::Cancelled)) {
--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -8,7 +8,7 @@
 use crate::ids::{GroupIx, JobIx, MachineIx};
 use crate::persistence::{StoredValueError, read_value};
 use crate::pipeline::{ChunkValue, Job, OpenRecord};
-use crate::topology::Offer;
+use crate::resources::Offer;
 use crate::wire::Entry;
 use crate::workers::{Attempt, Machine, RecordState};
 use thiserror::Error;
--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -3,8 +3,8 @@
 use super::Shard;
 use crate::Millis;
 use crate::ids::MachineIx;
-use crate::topology::Offer;
-use crate::wire::{ListedMachine, Report};
+use crate::resources::Offer;
+use crate::wire::{ListedMachine, MachineList, Report};
 use crate::workers::{Machine, Outcome};
 
 impl Shard {
@@ -73,14 +73,14 @@
     }
 
     /// One page of the cloud's list. Lists lag and may go back in time, so
-    /// absence proves nothing; what is there is learned. `last`: of its list.
-    pub fn listed(&mut self, now: Millis, machines: &[ListedMachine], last: bool) {
-        for listed in machines {
+    /// absence proves nothing; what is there is learned.
+    pub fn listed(&mut self, now: Millis, page: &MachineList) {
+        for listed in &page.machines {
             if !self.workers.was_deleted_lately(&listed.id) {
                 self.machine_listed(now, listed);
             }
         }
-        if last {
+        if !page.more {
             self.workers.cloud_list_complete();
         }
     }
--- a/src/controller/shard/reports.rs
+++ b/src/controller/shard/reports.rs
@@ -38,7 +38,7 @@
         for ended in merged.ended {
             self.close(now, ended.attempt, ended.outcome);
         }
-        self.pending_writes.queue_starts(merged.chunks_to_rewrite);
+        self.pending_writes.queue_urgent_chunks(merged.chunks_to_rewrite);
         merged.outcome
     }
 
--- a/src/controller/shard/scheduling.rs
+++ b/src/controller/shard/scheduling.rs
@@ -10,7 +10,7 @@
     /// Plans attempts for released tasks. They start once they are written.
     pub fn place(&mut self, now: Millis) {
         let chunks = placement::place(self.placement_context(now));
-        self.pending_writes.queue_starts(chunks);
+        self.pending_writes.queue_urgent_chunks(chunks);
     }
 
     /// Stops tasks of lower priority where a task has waited for room too long.
--- a/src/controller/shard/tests/attempts.rs
+++ b/src/controller/shard/tests/attempts.rs
@@ -85,7 +85,7 @@
         ReportPath::Heartbeat,
     );
     let job = shard.jobs.table.find("j-1").expect("known");
-    shard.pending_writes.queue_chunk(ChunkId { job, number: 7 });
+    shard.pending_writes.queue_deferrable_chunk(ChunkId { job, number: 7 });
     shard.pending_writes.queue_clean_up(job);
     shard.jobs.note_deleted("j-1".into());
     shard.forget_deleted_jobs();
--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -2,7 +2,7 @@
 use crate::fleet::demand::CapacityNeed;
 use crate::fleet::offers::{OfferSearch, PurchaseScope};
 use crate::ids::MachineIx;
-use crate::topology::Offer;
+use crate::resources::Offer;
 use std::collections::BTreeSet;
 
 fn forecast(shard: &mut Shard, now: Millis) -> Vec<CapacityNeed> {
--- a/src/controller/shard/tests/scheduling.rs
+++ b/src/controller/shard/tests/scheduling.rs
@@ -10,7 +10,7 @@
     /// Opens an attempt of a task on a machine, whatever placement would choose.
     pub fn open_attempt(&mut self, job: JobIx, task: u32, machine: MachineIx) {
         let chunk = self.placement_context(0).open_attempt(job, task, machine);
-        self.pending_writes.queue_starts(chunk);
+        self.pending_writes.queue_urgent_chunks(chunk);
     }
 }
 
--- a/src/controller/shard/transactions.rs
+++ b/src/controller/shard/transactions.rs
@@ -50,7 +50,7 @@
             self.fleet.add_machine_request(request.record, request.version);
         }
         // A cancel may have come while this was written.
-        self.drop_unwritten(now);
+        self.drop_planned_attempts(now);
     }
 
     /// The transaction in flight was surely not applied: everything in it has
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -76,9 +76,9 @@
         if let Some(read) = admission_read {
             let effects = self.with_admission(|admission, context, _| {
                 if is_up_to_date {
-                    admission.synced(context, read)
+                    admission.confirming_read_done(context, read)
                 } else {
-                    admission.sync_failed(read)
+                    admission.confirming_read_failed(read)
                 }
             });
             self.apply_effects(effects);
--- a/src/fleet/boot.rs
+++ b/src/fleet/boot.rs
@@ -2,7 +2,7 @@
 
 use super::health::is_most;
 use super::{FIRST_SIGN_MS, Fleet, FleetContext};
-use crate::topology::Offer;
+use crate::resources::Offer;
 use crate::workers::Machine;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/fleet/cloud_calls.rs
+++ b/src/fleet/cloud_calls.rs
@@ -2,7 +2,7 @@
 
 use super::{Fleet, MachineRequestRecord};
 use crate::Millis;
-use crate::topology::Offer;
+use crate::resources::Offer;
 
 /// How far a kind of call has come of which one is in flight at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::Millis;
 use crate::ids::ZoneIx;
-use crate::topology::Offer;
+use crate::resources::Offer;
 use demand::CapacityNeed;
 use forecast::Forecast;
 use serde::{Deserialize, Serialize};
--- a/src/fleet/offers.rs
+++ b/src/fleet/offers.rs
@@ -3,7 +3,8 @@
 use super::demand::CapacityNeed;
 use super::{Fleet, FleetContext};
 use crate::ids::{Index, TypeIx, ZoneIx};
-use crate::topology::{Market, Offer, TypeInfo};
+use crate::resources::{Market, Offer};
+use crate::topology::TypeInfo;
 use std::collections::BTreeSet;
 
 /// Which machines tasks are worth that could run on spot machines.
@@ -122,7 +123,7 @@
         });
         offers
             .filter(move |offer| offer.market() == Market::Spot || on_demand)
-            .filter(move |offer| need.shape.allows(offer.type_ix, offer.zone, offer.spot))
+            .filter(move |&offer| need.shape.allows(offer))
             .filter(move |offer| !self.fleet.is_refused(*offer, self.context.now))
             .filter_map(move |offer| {
                 let price = info.price_in(offer.market())?;
--- a/src/fleet/planned.rs
+++ b/src/fleet/planned.rs
@@ -2,8 +2,8 @@
 
 use super::{Fleet, FleetContext, MachineRequestRecord};
 use crate::ids::MachineIx;
+use crate::resources::Offer;
 use crate::resources::Resources;
-use crate::topology::Offer;
 use crate::workers::Machine;
 
 /// Whether a machine is there yet.
--- a/src/fleet/provision.rs
+++ b/src/fleet/provision.rs
@@ -6,7 +6,7 @@
 use super::planned::PlannedMachine;
 use super::{Fleet, FleetContext, MachineRequestRecord};
 use crate::ids::MachineIx;
-use crate::topology::Offer;
+use crate::resources::Offer;
 use std::collections::BTreeMap;
 
 /// Machines asked for at once by one request: the most that the cloud takes.
@@ -119,12 +119,11 @@
         if left == 0 {
             break;
         }
-        let Offer { type_ix, zone, spot } = machine.offer;
-        if !need.shape.allows(type_ix, zone, spot) {
+        if !need.shape.allows(machine.offer) {
             continue;
         }
         // Headroom is not worth an on-demand machine.
-        let most = if spot || !need.shape.spot {
+        let most = if machine.offer.spot || !need.shape.spot {
             left
         } else {
             left.saturating_sub(need.count.saturating_sub(need.on_demand_count))
--- a/src/persistence/next_transaction.rs
+++ b/src/persistence/next_transaction.rs
@@ -63,7 +63,7 @@
         add_urgent_groups(context, draft);
         self.add_machine_requests(draft);
         self.add_answered_requests(context, draft);
-        self.add_chunks_with_starts(now, context, draft);
+        self.add_urgent_chunks(now, context, draft);
     }
 
     /// What nobody waits for.
--- a/src/persistence/pending_writes.rs
+++ b/src/persistence/pending_writes.rs
@@ -9,10 +9,11 @@
 /// whether they are, and the transaction in flight.
 #[derive(Debug, Default)]
 pub struct PendingWrites {
-    /// Chunks with attempts that start once they are written.
-    pub(super) starts: BTreeSet<ChunkId>,
+    /// Chunks whose write is waited for: by attempts that start after it, or by the room
+    /// of attempts that never start.
+    pub(super) urgent_chunks: BTreeSet<ChunkId>,
     /// Chunks in which something else has changed.
-    pub(super) chunks: BTreeSet<ChunkId>,
+    pub(super) deferrable_chunks: BTreeSet<ChunkId>,
     /// Jobs whose last task is done.
     pub(super) finished: BTreeSet<JobIx>,
     /// Ended jobs none of whose attempts is open: their keys can go.
@@ -26,19 +27,20 @@
 }
 
 impl PendingWrites {
-    /// A chunk has an attempt that starts once it is written.
-    pub fn queue_start(&mut self, chunk: ChunkId) {
-        self.starts.insert(chunk);
+    /// The write of a chunk is waited for: by an attempt that starts after it, or by the
+    /// room of one that never starts.
+    pub fn queue_urgent_chunk(&mut self, chunk: ChunkId) {
+        self.urgent_chunks.insert(chunk);
     }
 
-    /// These chunks have attempts that start once they are written.
-    pub fn queue_starts(&mut self, chunks: impl IntoIterator<Item = ChunkId>) {
-        self.starts.extend(chunks);
+    /// The same for several chunks.
+    pub fn queue_urgent_chunks(&mut self, chunks: impl IntoIterator<Item = ChunkId>) {
+        self.urgent_chunks.extend(chunks);
     }
 
     /// A chunk has changed in a way that nothing waits for.
-    pub fn queue_chunk(&mut self, chunk: ChunkId) {
-        self.chunks.insert(chunk);
+    pub fn queue_deferrable_chunk(&mut self, chunk: ChunkId) {
+        self.deferrable_chunks.insert(chunk);
     }
 
     /// The last task of a job is done.
@@ -73,7 +75,7 @@
 
     /// Whether a chunk is due to be written, urgently or not.
     pub fn is_chunk_queued(&self, chunk: ChunkId) -> bool {
-        self.starts.contains(&chunk) || self.chunks.contains(&chunk)
+        self.urgent_chunks.contains(&chunk) || self.deferrable_chunks.contains(&chunk)
     }
 
     /// Whether the keys of a job are due to be removed.
@@ -83,13 +85,13 @@
 
     /// Whether anything is due to be written of any job.
     pub fn has_changes_of_jobs(&self) -> bool {
-        let has_chunks = !self.starts.is_empty() || !self.chunks.is_empty();
+        let has_chunks = !self.urgent_chunks.is_empty() || !self.deferrable_chunks.is_empty();
         has_chunks || !self.finished.is_empty() || !self.clean_ups.is_empty()
     }
 
     /// Whether work or users wait for something to be written.
     pub fn is_urgent(&self) -> bool {
-        !(self.starts.is_empty() && self.finished.is_empty() && self.machine_requests.is_empty())
+        !(self.urgent_chunks.is_empty() && self.finished.is_empty() && self.machine_requests.is_empty())
     }
 
     /// Whether a transaction is in flight.
@@ -109,16 +111,16 @@
 
     /// Nothing of this job is left to write. Its index may be given to another.
     pub fn forget_job(&mut self, job: JobIx) {
-        self.starts.retain(|chunk| chunk.job != job);
-        self.chunks.retain(|chunk| chunk.job != job);
+        self.urgent_chunks.retain(|chunk| chunk.job != job);
+        self.deferrable_chunks.retain(|chunk| chunk.job != job);
         self.finished.remove(&job);
         self.clean_ups.remove(&job);
     }
 
     /// A chunk goes into the transaction that is built now, or need not be written.
     pub(super) fn unqueue_chunk(&mut self, chunk: ChunkId) {
-        self.starts.remove(&chunk);
-        self.chunks.remove(&chunk);
+        self.urgent_chunks.remove(&chunk);
+        self.deferrable_chunks.remove(&chunk);
     }
 }
 
--- a/src/persistence/pending_writes/tests.rs
+++ b/src/persistence/pending_writes/tests.rs
@@ -10,10 +10,10 @@
 #[test]
 fn starts_are_urgent_and_other_changes_are_not() {
     let mut pending = PendingWrites::default();
-    pending.queue_chunk(chunk(1, 0));
+    pending.queue_deferrable_chunk(chunk(1, 0));
     pending.queue_clean_up(JobIx(1));
     assert!(!pending.is_urgent());
-    pending.queue_start(chunk(1, 1));
+    pending.queue_urgent_chunk(chunk(1, 1));
     assert!(pending.is_urgent());
     pending.unqueue_chunk(chunk(1, 1));
     assert!(!pending.is_urgent());
@@ -23,8 +23,8 @@
 fn a_forgotten_job_leaves_nothing_of_it_and_all_of_the_others() {
     let mut pending = PendingWrites::default();
     for job in [1, 2] {
-        pending.queue_start(chunk(job, 0));
-        pending.queue_chunk(chunk(job, 1));
+        pending.queue_urgent_chunk(chunk(job, 0));
+        pending.queue_deferrable_chunk(chunk(job, 1));
         pending.queue_finished_job(JobIx(job));
         pending.queue_clean_up(JobIx(job));
     }
--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -19,13 +19,8 @@
 
 impl PendingWrites {
     /// Chunks with attempts that start once they are written.
-    pub(super) fn add_chunks_with_starts(
-        &mut self,
-        now: Millis,
-        context: &mut WriteContext<'_>,
-        draft: &mut Draft<'_>,
-    ) {
-        let due = self.starts.clone();
+    pub(super) fn add_urgent_chunks(&mut self, now: Millis, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
+        let due = self.urgent_chunks.clone();
         self.add_chunks(now, due, context, draft);
     }
 
@@ -36,7 +31,7 @@
             let chunk = job.and_then(|job| job.chunks.get(id.number as usize));
             chunk.is_none_or(|chunk| now >= chunk.built_at() + REWRITE_MS)
         };
-        let due = self.chunks.iter().copied().filter(is_due).collect();
+        let due = self.deferrable_chunks.iter().copied().filter(is_due).collect();
         self.add_chunks(now, due, context, draft);
     }
 
@@ -101,7 +96,7 @@
                     attempt.record.write_failed();
                 }
             }
-            self.queue_start(id);
+            self.queue_urgent_chunk(id);
         }
     }
 }
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -1,4 +1,4 @@
-//! Algorithm 1: where the next task of a job goes, toward the machines that have its
+//! Pheromone's Algorithm 1: where the next task of a job goes, toward the machines that have its
 //! image cached.
 
 use super::Cluster;
--- a/src/placement/machine_view/mod.rs
+++ b/src/placement/machine_view/mod.rs
@@ -85,7 +85,7 @@
             .map(|(index, (slot, &image))| OpenSlot { index, slot, image })
             .filter(|OpenSlot { slot, .. }| {
                 slot.is_allowed_by(&job.shape)
-                    && zones.as_ref().is_none_or(|zones| zones.contains(&slot.zone))
+                    && zones.as_ref().is_none_or(|zones| zones.contains(&slot.offer.zone))
                     && !job.failed_on.contains(&slot.machine)
             })
     }
@@ -178,7 +178,7 @@
 
     /// The type of a slot's machine.
     pub fn type_at(&self, slot: usize) -> TypeIx {
-        self.slots[slot].type_ix
+        self.slots[slot].offer.type_ix
     }
 
     /// Whether it is known that no slot has room for the shape.
--- a/src/placement/machine_view/ranking.rs
+++ b/src/placement/machine_view/ranking.rs
@@ -1,4 +1,4 @@
-//! The order in which slots suit a job, by Algorithm 1.
+//! The order in which slots suit a job, by Pheromone's Algorithm 1.
 
 use super::slot::Slot;
 use crate::placement::image_state::ImageState;
@@ -6,7 +6,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// How well a slot suits a job, by Algorithm 1: most of the input first; then cheap
+/// How well a slot suits a job, by Pheromone's Algorithm 1: most of the input first; then cheap
 /// machines, the smallest type and the fullest machine, so that others fall idle and
 /// are returned. Among equals the first slot wins.
 #[derive(Clone, Copy, Debug)]
@@ -23,7 +23,7 @@
     pub fn new(slot_index: usize, slot: &Slot, image: ImageState) -> Score {
         Score {
             image,
-            spot: slot.spot,
+            spot: slot.offer.spot,
             type_cpus: slot.type_cpus,
             free_cpus: slot.free.cpus,
             slot_index: Reverse(slot_index),
--- a/src/placement/machine_view/slot.rs
+++ b/src/placement/machine_view/slot.rs
@@ -1,7 +1,7 @@
 //! One machine in the view of a round.
 
-use crate::ids::{MachineIx, TypeIx, ZoneIx};
-use crate::resources::{Resources, Shape};
+use crate::ids::MachineIx;
+use crate::resources::{Offer, Resources, Shape};
 use crate::topology::TypeInfo;
 use crate::workers::Machine;
 
@@ -9,9 +9,7 @@
 #[derive(Debug)]
 pub struct Slot {
     pub machine: MachineIx,
-    pub type_ix: TypeIx,
-    pub zone: ZoneIx,
-    pub spot: bool,
+    pub offer: Offer,
     /// CPUs of the whole machine.
     pub type_cpus: f64,
     pub free: Resources,
@@ -24,9 +22,7 @@
     pub fn new(machine_ix: MachineIx, machine: &Machine, info: &TypeInfo) -> Slot {
         Slot {
             machine: machine_ix,
-            type_ix: machine.type_ix,
-            zone: machine.zone,
-            spot: machine.spot,
+            offer: machine.offer(),
             type_cpus: info.resources.cpus,
             free: info.resources.saturating_sub(machine.used),
             reserved: false,
@@ -40,6 +36,6 @@
 
     /// Whether tasks of this shape may run here at all, full or not.
     pub fn is_allowed_by(&self, shape: &Shape) -> bool {
-        shape.allows(self.type_ix, self.zone, self.spot)
+        shape.allows(self.offer)
     }
 }
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::ids::JobIx;
 use crate::pipeline::Jobs;
+use crate::resources::Offer;
 use crate::settings::{Settings, tests::SAMPLE};
 use crate::store::JobKey;
-use crate::topology::Offer;
 use crate::wire::{Catalogue, MachineType};
 use crate::workers::Machine;
 use proptest::prelude::*;
@@ -96,7 +96,7 @@
     jobs.add("j-1", &key, 1, topology).expect("a known team")
 }
 
-/// Algorithm 1 as the plain scan of all machines states it.
+/// Pheromone's Algorithm 1 as the plain scan of all machines states it.
 fn plain_scan(fixture: &Fixture) -> Option<MachineIx> {
     let job = fixture.job();
     let mut best: Option<((bool, bool, f64, f64), MachineIx)> = None;
@@ -105,7 +105,7 @@
             .as_ref()
             .expect("known");
         let free = info.resources.saturating_sub(machine.used);
-        if !machine.usable(0) || !job.shape.allows(machine.type_ix, machine.zone, machine.spot) {
+        if !machine.usable(0) || !job.shape.allows(machine.offer()) {
             continue;
         }
         let score = (machine.holds(job.image), machine.spot, -info.resources.cpus, -free.cpus);
@@ -123,7 +123,7 @@
         let info = fixture.topology.type_info[machine.type_ix.usize()]
             .as_ref()
             .expect("known");
-        let allowed = job.shape.allows(machine.type_ix, machine.zone, machine.spot);
+        let allowed = job.shape.allows(machine.offer());
         allowed && machine.holds(job.image) && !info.resources.saturating_sub(machine.used).fits(job.shape.resources)
     })
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A round of placement serves the jobs in order of their teams' guarantees, their
 //! priorities and their deadlines, within the quotas of the teams. Where a task goes is
-//! decided by Algorithm 1, toward the machines that have its image cached. Preemption
+//! decided by Pheromone's Algorithm 1, toward the machines that have its image cached. Preemption
 //! makes room for jobs that find none.
 
 mod choice;
--- a/src/placement/preemption/candidates.rs
+++ b/src/placement/preemption/candidates.rs
@@ -1,10 +1,10 @@
 //! The machines on which tasks could be stopped, and what stopping them would lose.
 
 use crate::MILLIS_PER_SECOND;
-use crate::ids::{AttemptIx, ImageIx, Index, JobIx, MachineIx, TypeIx, ZoneIx};
+use crate::ids::{AttemptIx, ImageIx, Index, JobIx, MachineIx};
 use crate::pipeline::Job;
 use crate::placement::Cluster;
-use crate::resources::Resources;
+use crate::resources::{Offer, Resources};
 use crate::wire::{Priority, TaskState};
 use crate::workers::Attempt;
 use std::collections::BTreeMap;
@@ -27,9 +27,7 @@
 #[derive(Clone, Debug)]
 pub struct Candidate {
     pub machine: MachineIx,
-    pub type_ix: TypeIx,
-    pub zone: ZoneIx,
-    pub spot: bool,
+    pub offer: Offer,
     /// Images that it has cached or is fetching.
     pub images: Vec<ImageIx>,
     /// Free now, or as soon as what is being stopped has ended.
@@ -158,9 +156,7 @@
                 let info = self.cluster.topology.type_info[machine.type_ix.usize()].as_ref()?;
                 Some(entry.insert(Candidate {
                     machine: machine_ix,
-                    type_ix: machine.type_ix,
-                    zone: machine.zone,
-                    spot: machine.spot,
+                    offer: machine.offer(),
                     images: machine.images.iter().map(|&(image, _)| image).collect(),
                     free: info.resources.saturating_sub(machine.used),
                     victims: Vec::new(),
--- a/src/placement/preemption/demand.rs
+++ b/src/placement/preemption/demand.rs
@@ -84,8 +84,11 @@
     }
 
     fn allows(&self, candidate: &Candidate) -> bool {
-        self.shape.allows(candidate.type_ix, candidate.zone, candidate.spot)
-            && self.zones.as_ref().is_none_or(|zones| zones.contains(&candidate.zone))
+        self.shape.allows(candidate.offer)
+            && self
+                .zones
+                .as_ref()
+                .is_none_or(|zones| zones.contains(&candidate.offer.zone))
             && !self.failed_on.contains(&candidate.machine)
     }
 
@@ -102,7 +105,7 @@
         candidate.free.subtract(self.shape.resources);
         self.unplaced_tasks -= 1;
         if self.one_zone {
-            self.zones = Some(vec![candidate.zone]);
+            self.zones = Some(vec![candidate.offer.zone]);
         }
     }
 }
--- a/src/placement/preemption/victims/tests.rs
+++ b/src/placement/preemption/victims/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use crate::ids::{ImageIx, MachineIx, TypeIx, ZoneIx};
 use crate::placement::image_state::ImageState;
-use crate::resources::{Resources, Shape};
+use crate::resources::{Offer, Resources, Shape};
 use proptest::prelude::*;
 
 const IMAGE: ImageIx = ImageIx(7);
@@ -33,9 +33,11 @@
     };
     Candidate {
         machine: MachineIx(0),
-        type_ix: TypeIx(0),
-        zone: ZoneIx(0),
-        spot: true,
+        offer: Offer {
+            type_ix: TypeIx(0),
+            zone: ZoneIx(0),
+            spot: true,
+        },
         images: if image == ImageState::Cached {
             vec![IMAGE]
         } else {
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -71,6 +71,34 @@
     }
 }
 
+/// On which terms a machine is bought.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Market {
+    /// At a lower price, and the cloud may reclaim it at short notice.
+    Spot,
+    /// At the full price, for as long as it is wanted.
+    OnDemand,
+}
+
+/// One thing that the cloud sells: machines of a type, in a zone, as spot or on-demand
+/// machines. Capacity, refusals and failed boots are counted for each offer by itself.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Offer {
+    /// The type of the machines.
+    pub type_ix: TypeIx,
+    /// Where they are.
+    pub zone: ZoneIx,
+    /// Whether they are spot machines, and not on-demand ones.
+    pub spot: bool,
+}
+
+impl Offer {
+    /// On which terms its machines are bought.
+    pub fn market(&self) -> Market {
+        if self.spot { Market::Spot } else { Market::OnDemand }
+    }
+}
+
 /// What a task takes and which machines it may run on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shape {
@@ -85,12 +113,11 @@
 }
 
 impl Shape {
-    /// Whether the task may run on a machine of this type, in this zone, that is
-    /// rented as a spot machine or not.
-    pub fn allows(&self, type_ix: TypeIx, zone: ZoneIx, spot: bool) -> bool {
-        (self.spot || !spot)
-            && self.types.as_ref().is_none_or(|types| types.contains(&type_ix))
-            && self.zone.is_none_or(|only| only == zone)
+    /// Whether the task may run on the machines of this offer.
+    pub fn allows(&self, offer: Offer) -> bool {
+        (self.spot || !offer.spot)
+            && self.types.as_ref().is_none_or(|types| types.contains(&offer.type_ix))
+            && self.zone.is_none_or(|only| only == offer.zone)
     }
 
     /// Whether both may run on the same machines, whatever they take there.
--- a/src/topology.rs
+++ b/src/topology.rs
@@ -1,7 +1,7 @@
 //! The machine types and zones of the cloud, under dense indices.
 
 use crate::ids::{Index, Names, TypeIx, ZoneIx};
-use crate::resources::Resources;
+use crate::resources::{Market, Offer, Resources};
 use crate::wire::{Catalogue, MachineType};
 
 /// Boot time of a type that the catalogue does not give.
@@ -36,34 +36,6 @@
     }
 }
 
-/// On which terms a machine is bought.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Market {
-    /// At a lower price, and the cloud may reclaim it at short notice.
-    Spot,
-    /// At the full price, for as long as it is wanted.
-    OnDemand,
-}
-
-/// One thing that the cloud sells: machines of a type, in a zone, as spot or on-demand
-/// machines. Capacity, refusals and failed boots are counted for each offer by itself.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Offer {
-    /// The type of the machines.
-    pub type_ix: TypeIx,
-    /// Where they are.
-    pub zone: ZoneIx,
-    /// Whether they are spot machines, and not on-demand ones.
-    pub spot: bool,
-}
-
-impl Offer {
-    /// On which terms its machines are bought.
-    pub fn market(&self) -> Market {
-        if self.spot { Market::Spot } else { Market::OnDemand }
-    }
-}
-
 /// The types of machines and the zones that are known by name, from the settings, the
 /// catalogue, jobs or machines.
 #[derive(Debug, Default)]
--- a/src/workers/image_cache/tests.rs
+++ b/src/workers/image_cache/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::ids::{TypeIx, ZoneIx};
-use crate::topology::Offer;
+use crate::resources::Offer;
 use proptest::prelude::*;
 
 proptest! {
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -3,8 +3,8 @@
 use super::{CloudListing, Delivery, FailureRecord};
 use crate::Millis;
 use crate::ids::{AttemptIx, GroupIx, ImageIx, TypeIx, ZoneIx};
+use crate::resources::Offer;
 use crate::resources::Resources;
-use crate::topology::Offer;
 use crate::wire::{ListedMachine, MachineState, TaskReport};
 
 /// Reports without effect of the answers before them, after which a machine
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -3,7 +3,8 @@
 //!
 //! An attempt stays open, and counts against its team and its machine, until it
 //! is proven over: listed as ended by the newest report, its agent epoch gone, its
-//! machine deleted, or its worker's lease surely expired. Commands are always
+//! machine deleted, its worker's lease surely expired, or, if it is not wanted any more,
+//! no start of it can still arrive. Commands are always
 //! derived from what is open, so repeating them needs no memory of its own.
 //!
 //! What changes other slices is returned as effects, for the shard to apply.
