--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -54,7 +54,7 @@
     shard.decommission_failed(silent_ms + 3_001);
     assert_eq!(given_up(&shard), ["host-4"]);
     let north = shard.topology.zones.get("north").expect("known");
-    assert!(shard.fleet.silent_zones.contains(&north));
+    assert!(shard.fleet.unresponsive_zones.contains(&north));
     assert!(
         shard
             .workers
@@ -176,7 +176,7 @@
     shard.workers.hearing_since = 0;
     shard
         .fleet
-        .silent_zones
+        .unresponsive_zones
         .insert(shard.topology.zones.get("north").expect("known"));
     assert!(!late(&mut shard), "it may be up and cut off");
 }
--- a/src/fleet/boot.rs
+++ b/src/fleet/boot.rs
@@ -27,7 +27,7 @@
         machine.last_sign().is_none()
             && context.now > machine.requested_at + due_ms
             && context.now > workers.hearing_since + FIRST_SIGN_MS
-            && !self.silent_zones.contains(&machine.zone)
+            && !self.unresponsive_zones.contains(&machine.zone)
     }
 
     /// Offers most of whose machines still to come are overdue: what is asked for there
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -155,7 +155,7 @@
         let signs = last_signs(context);
         // Their machines keep their images and need no boot, so they are waited for as
         // long as new ones would take.
-        self.silent_zones = silent_zones(context, &signs);
+        self.unresponsive_zones = unresponsive_zones(context, &signs);
         let fleet = FleetStatus::new(context, &signs);
         let mut failed = Vec::new();
         for (ix, machine) in context.workers.machines.iter() {
@@ -189,7 +189,7 @@
             machine,
             fleet,
             is_unresponsive: fleet.unresponsive.contains(&ix),
-            zone_is_silent: self.silent_zones.contains(&machine.zone),
+            zone_is_silent: self.unresponsive_zones.contains(&machine.zone),
             silence_ms: context.silence_ms(),
             report_interval_ms: crate::millis(workers.longest_report_interval_s()),
             lease_expiry_ms: workers.lease_expiry_ms,
@@ -233,7 +233,7 @@
 ///
 /// Told by half the silence that it takes of one machine: the first to be given up would
 /// else go one by one before the others, which reported a little later, count as such.
-fn silent_zones(context: &FleetContext<'_>, signs: &[LastSign]) -> BTreeSet<ZoneIx> {
+fn unresponsive_zones(context: &FleetContext<'_>, signs: &[LastSign]) -> BTreeSet<ZoneIx> {
     let patience = context.silence_ms() / 2;
     let zones = (0..context.topology.zones.len()).map(ZoneIx::from_usize);
     zones
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -61,7 +61,7 @@
     /// The deletion of decommissioned machines.
     pub(crate) deletion: CallState,
     /// Zones most of whose machines have become unresponsive: most likely cut off.
-    pub(crate) silent_zones: BTreeSet<ZoneIx>,
+    pub(crate) unresponsive_zones: BTreeSet<ZoneIx>,
     machine_requests: Vec<PendingMachineRequest>,
     next_request: u64,
     /// Offers refused lately, and until when they are left alone.
--- a/src/fleet/offers.rs
+++ b/src/fleet/offers.rs
@@ -113,7 +113,7 @@
         let on_demand = scope == PurchaseScope::SpotOrOnDemand || !need.shape.spot;
         let zones = info.zones.iter().copied();
         // New ones in a silent zone could not be reached either.
-        let zones = zones.filter(move |zone| !self.fleet.silent_zones.contains(zone));
+        let zones = zones.filter(move |zone| !self.fleet.unresponsive_zones.contains(zone));
         let offers = zones.flat_map(move |zone| {
             [Market::Spot, Market::OnDemand].map(|market| Offer {
                 type_ix,
