--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -158,8 +158,8 @@
     shard.workers.machines.get_mut(ix).expect("there").heard_at = Some(14_000);
     assert_eq!(planned_machines(&mut shard, 14_000), 1);
     shard.workers.machines.get_mut(ix).expect("there").heard_at = None;
-    let silence_ms = shard.fleet_and_context(0).1.silence_ms();
-    let patience = shard.workers.lease_expiry_ms.max(25_000) + silence_ms;
+    let unresponsive_after_ms = shard.fleet_and_context(0).1.unresponsive_after_ms();
+    let patience = shard.workers.lease_expiry_ms.max(25_000) + unresponsive_after_ms;
     shard.decommission_failed(patience + 1);
     assert!(shard.workers.machines.get(ix).expect("there").decommissioned);
 }
--- a/src/fleet/context.rs
+++ b/src/fleet/context.rs
@@ -33,7 +33,7 @@
 
 impl FleetContext<'_> {
     /// After this much time without a report a machine counts as unresponsive.
-    pub fn silence_ms(&self) -> Millis {
+    pub fn unresponsive_after_ms(&self) -> Millis {
         crate::millis(self.policy.silent_reports * self.workers.longest_report_interval_s())
     }
 }
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -73,7 +73,9 @@
             }
             Failure::Unreachable => is_unreachable(machine) && !status.fleet.most_unreachable,
             Failure::BootFailed => {
-                status.boot_has_failed() && status.no_sign_for(status.silence_ms) && status.lease_has_expired()
+                status.boot_has_failed()
+                    && status.no_sign_for(status.unresponsive_after_ms)
+                    && status.lease_has_expired()
             }
             Failure::FailsTasks => machine.is_sick() && !status.fleet.most_fail_tasks,
             Failure::Reclaimed => machine
@@ -90,7 +92,7 @@
     fleet: &'a FleetStatus,
     is_unresponsive: bool,
     zone_is_silent: bool,
-    silence_ms: Millis,
+    unresponsive_after_ms: Millis,
     report_interval_ms: Millis,
     lease_expiry_ms: Millis,
     boot_s: f64,
@@ -105,7 +107,7 @@
 
     /// A replacement asked for when it became unresponsive would be up by now.
     fn is_replaceable(&self) -> bool {
-        self.no_sign_for(self.silence_ms + crate::millis(self.boot_s * REPLACEMENT_BOOTS))
+        self.no_sign_for(self.unresponsive_after_ms + crate::millis(self.boot_s * REPLACEMENT_BOOTS))
     }
 
     fn is_report_late(&self) -> bool {
@@ -190,7 +192,7 @@
             fleet,
             is_unresponsive: fleet.unresponsive.contains(&ix),
             zone_is_silent: self.unresponsive_zones.contains(&machine.zone),
-            silence_ms: context.silence_ms(),
+            unresponsive_after_ms: context.unresponsive_after_ms(),
             report_interval_ms: crate::millis(workers.longest_report_interval_s()),
             lease_expiry_ms: workers.lease_expiry_ms,
             boot_s: context.topology.boot_s(machine.type_ix),
@@ -201,8 +203,10 @@
 
 impl FleetStatus {
     fn new(context: &FleetContext<'_>, signs: &[LastSign]) -> FleetStatus {
-        let silence_ms = context.silence_ms();
-        let unresponsive = signs.iter().filter(|sign| context.now > sign.at + silence_ms);
+        let unresponsive_after_ms = context.unresponsive_after_ms();
+        let unresponsive = signs
+            .iter()
+            .filter(|sign| context.now > sign.at + unresponsive_after_ms);
         let machines = || context.workers.machines.iter().map(|(_, machine)| machine);
         let unreachable = machines().filter(|machine| is_unreachable(machine)).count();
         let fail_tasks = machines().filter(|machine| machine.is_sick()).count();
@@ -234,7 +238,7 @@
 /// Told by half the silence that it takes of one machine: the first to be given up would
 /// else go one by one before the others, which reported a little later, count as such.
 fn unresponsive_zones(context: &FleetContext<'_>, signs: &[LastSign]) -> BTreeSet<ZoneIx> {
-    let patience = context.silence_ms() / 2;
+    let patience = context.unresponsive_after_ms() / 2;
     let zones = (0..context.topology.zones.len()).map(ZoneIx::from_usize);
     zones
         .filter(|&zone| {
