--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -3,7 +3,7 @@
 use super::shard::Shard;
 use super::{CloudReply, CloudRequest, Controller, Output, Purpose};
 use crate::Millis;
-use crate::fleet::{LIST_EVERY_MS, MachineRequestRecord};
+use crate::fleet::{LISTING_INTERVAL_MS, MachineRequestRecord};
 use crate::persistence::AnsweredRequest;
 use crate::store::{StoreRequest, TokenBucket};
 use crate::wire::{Catalogue, Change, MachineList, MachineNames, MachineRequest, Transaction};
@@ -168,7 +168,7 @@
             (CloudPurpose::ListMachines, Some(fleet)) => {
                 // From its beginning, which has time.
                 self.cloud.list_after.clear();
-                fleet.listing.finish(self.now + LIST_EVERY_MS);
+                fleet.listing.finish(self.now + LISTING_INTERVAL_MS);
             }
             (_, None) => {}
         }
@@ -244,7 +244,7 @@
             }
             _ => {
                 self.cloud.list_after.clear();
-                shard.fleet.listing.finish(now + LIST_EVERY_MS);
+                shard.fleet.listing.finish(now + LISTING_INTERVAL_MS);
             }
         }
     }
--- a/src/controller/cloud/tests.rs
+++ b/src/controller/cloud/tests.rs
@@ -117,7 +117,7 @@
     assert_eq!(after, "host-2");
     controller.on_cloud_reply(call, CloudReply::Unanswered);
     assert!(requests(&mut controller).is_empty());
-    controller.now += LIST_EVERY_MS;
+    controller.now += LISTING_INTERVAL_MS;
     let (_, after) = list_after(requests(&mut controller));
     assert_eq!(after, "");
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -31,7 +31,7 @@
 
 const PLAN_EVERY_MS: Millis = 1_000;
 /// The cloud's list is read again this long after its end.
-pub(crate) const LIST_EVERY_MS: Millis = 3_000;
+pub(crate) const LISTING_INTERVAL_MS: Millis = 3_000;
 /// Beyond a boot: until a new machine is listed or has reported.
 const FIRST_SIGN_MS: Millis = 10_000;
 
@@ -75,7 +75,7 @@
     pub fn new(value_kb: f64) -> Fleet {
         Fleet {
             inventory: Inventory::new(value_kb),
-            listing: CallState::NotBefore(LIST_EVERY_MS),
+            listing: CallState::NotBefore(LISTING_INTERVAL_MS),
             ..Fleet::default()
         }
     }
