--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -183,7 +183,7 @@
     }
 
     /// Groups whose writes were surely not applied.
-    pub fn write_again(&mut self, groups: impl IntoIterator<Item = GroupIx>) {
+    pub fn retry_writes(&mut self, groups: impl IntoIterator<Item = GroupIx>) {
         self.urgent.extend(groups);
     }
 
--- a/src/fleet/inventory/tests.rs
+++ b/src/fleet/inventory/tests.rs
@@ -40,7 +40,7 @@
     assert_eq!(inventory.due(DueGroups::Urgent), [group].into());
     inventory.write_started(group);
     assert!(inventory.due(DueGroups::All).is_empty());
-    inventory.write_again([group]);
+    inventory.retry_writes([group]);
     assert_eq!(inventory.due(DueGroups::Urgent), [group].into());
     inventory.write_started(group);
     inventory.written(group, 7);
--- a/src/persistence/inventory_groups.rs
+++ b/src/persistence/inventory_groups.rs
@@ -118,5 +118,5 @@
 pub(super) fn groups_not_applied(groups: &[WrittenGroup], context: &mut WriteContext<'_>) {
     context
         .inventory
-        .write_again(groups.iter().map(|written| written.group));
+        .retry_writes(groups.iter().map(|written| written.group));
 }
