--- a/src/admission/submissions.rs
+++ b/src/admission/submissions.rs
@@ -25,7 +25,7 @@
     match (context.verdict)(spec) {
         Verdict::Refused(refusal) => Decision::Refuse(refusal),
         Verdict::NotKnownYet => Decision::Postpone(Unavailable::MachineTypesUnknown),
-        Verdict::Acceptable if !memory::has_room_for(context.limits, context.watch_cache, spec.tasks) => {
+        Verdict::Acceptable if !memory::has_memory_for_job(context.limits, context.watch_cache, spec.tasks) => {
             Decision::Postpone(Unavailable::TooMuchUnfinishedWork)
         }
         Verdict::Acceptable => Decision::Accept(Box::new(acceptance(context, spec))),
--- a/src/memory.rs
+++ b/src/memory.rs
@@ -25,7 +25,7 @@
 
 /// Whether there is room for one more job of so many tasks beside the watched ones. Any
 /// controller may become the leader, so each reckons with what the leader holds.
-pub fn has_room_for(limits: &Limits, watched: &WatchCache, tasks: u32) -> bool {
+pub fn has_memory_for_job(limits: &Limits, watched: &WatchCache, tasks: u32) -> bool {
     let all_tasks = watched.tasks() + u64::from(tasks);
     let jobs_bytes = (watched.jobs().len() + 1) as f64 * JOB_BYTES as f64;
     let tasks_bytes = all_tasks as f64 / TASKS_PER_THOUSAND * THOUSAND_TASKS_BYTES as f64;
--- a/src/memory/tests.rs
+++ b/src/memory/tests.rs
@@ -23,7 +23,7 @@
         max_connections: 2_500,
     };
     let mut watched = WatchCache::default();
-    while has_room_for(&limits, &watched, tasks) {
+    while has_memory_for_job(&limits, &watched, tasks) {
         let number = watched.jobs().len();
         watched.record_job(&format!("j-{number}"), job(number, tasks), 1);
     }
