--- a/src/ids.rs
+++ b/src/ids.rs
@@ -67,21 +67,21 @@
 /// Gives each name a small index for good. For sets that stay small: types,
 /// zones, teams, images.
 #[derive(Debug, Clone)]
-pub struct Names<K> {
+pub struct Interner<K> {
     by_name: HashMap<String, K>,
     names: Vec<String>,
 }
 
-impl<K> Default for Names<K> {
+impl<K> Default for Interner<K> {
     fn default() -> Self {
-        Names {
+        Interner {
             by_name: HashMap::new(),
             names: Vec::new(),
         }
     }
 }
 
-impl<K: Index> Names<K> {
+impl<K: Index> Interner<K> {
     /// The index of a name, which is given one if it has none yet.
     pub fn intern(&mut self, name: &str) -> K {
         if let Some(&ix) = self.by_name.get(name) {
--- a/src/pipeline/job_builder.rs
+++ b/src/pipeline/job_builder.rs
@@ -2,7 +2,7 @@
 
 use super::{BySet, Chunk, Job, TaskSet};
 use crate::Millis;
-use crate::ids::{ClassIx, ImageIx, Names, TeamIx};
+use crate::ids::{ClassIx, ImageIx, Interner, TeamIx};
 use crate::resources::{Resources, Shape};
 use crate::store::JobKey;
 use crate::topology::Topology;
@@ -27,10 +27,10 @@
 
 /// The names and objectives by which jobs are put into indices.
 pub(super) struct JobBuilder<'a> {
-    pub teams: &'a Names<TeamIx>,
+    pub teams: &'a Interner<TeamIx>,
     pub topology: &'a mut Topology,
-    pub images: &'a mut Names<ImageIx>,
-    pub classes: &'a mut Names<ClassIx>,
+    pub images: &'a mut Interner<ImageIx>,
+    pub classes: &'a mut Interner<ClassIx>,
     /// In which time jobs of a class should be complete.
     pub due: &'a BTreeMap<String, Millis>,
     /// In which time their tasks should be started.
--- a/src/pipeline/jobs.rs
+++ b/src/pipeline/jobs.rs
@@ -3,7 +3,7 @@
 use super::job_builder::{JobBuilder, JobError};
 use super::{Job, TeamQuota, chunk_tasks};
 use crate::Millis;
-use crate::ids::{ClassIx, ImageIx, Index, JobIx, Names, Table, TeamIx};
+use crate::ids::{ClassIx, ImageIx, Index, Interner, JobIx, Table, TeamIx};
 use crate::resources::Resources;
 use crate::settings::{Objective, Params};
 use crate::store::JobKey;
@@ -15,9 +15,9 @@
 pub struct Jobs {
     /// The jobs by their ids.
     pub table: Table<JobIx, Job>,
-    team_names: Names<TeamIx>,
-    images: Names<ImageIx>,
-    classes: Names<ClassIx>,
+    team_names: Interner<TeamIx>,
+    images: Interner<ImageIx>,
+    classes: Interner<ClassIx>,
     /// What each team is guaranteed, may use and uses.
     pub team_quotas: Vec<TeamQuota>,
     /// In which time jobs of a class should be complete.
@@ -33,7 +33,7 @@
 impl Jobs {
     /// No jobs yet, of the teams and with the objectives of the settings.
     pub fn new(params: &Params) -> Jobs {
-        let mut team_names = Names::default();
+        let mut team_names = Interner::default();
         let mut team_quotas = Vec::new();
         for team in &params.teams {
             team_names.intern(&team.name);
@@ -46,8 +46,8 @@
         Jobs {
             table: Table::default(),
             team_names,
-            images: Names::default(),
-            classes: Names::default(),
+            images: Interner::default(),
+            classes: Interner::default(),
             team_quotas,
             due: shortest_objectives(&params.objectives, "finished"),
             start_within: shortest_objectives(&params.objectives, "wait"),
--- a/src/topology.rs
+++ b/src/topology.rs
@@ -1,6 +1,6 @@
 //! The machine types and zones of the cloud, under dense indices.
 
-use crate::ids::{Index, Names, TypeIx, ZoneIx};
+use crate::ids::{Index, Interner, TypeIx, ZoneIx};
 use crate::resources::{Market, Offer, Resources};
 use crate::wire::{Catalogue, MachineType};
 
@@ -41,9 +41,9 @@
 #[derive(Debug, Default)]
 pub struct Topology {
     /// Indices of the types.
-    pub types: Names<TypeIx>,
+    pub types: Interner<TypeIx>,
     /// Indices of the zones.
-    pub zones: Names<ZoneIx>,
+    pub zones: Interner<ZoneIx>,
     /// What the catalogue says of each type; `None` where it does not list the type.
     pub type_info: Vec<Option<TypeInfo>>,
 }
