--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -27,7 +27,7 @@
     pub fn load_group(&mut self, now: Millis, name: &str, entry: &Entry) {
         match read_value::<GroupValue>(entry) {
             Ok(value) => {
-                let group = self.fleet.inventory.load(name, entry.version);
+                let group = self.fleet.inventory.add_stored_group(name, entry.version);
                 for member in value.machines {
                     self.load_machine(now, group, member);
                 }
--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -124,7 +124,7 @@
         let ix = with_room.unwrap_or_else(|| {
             let name = format!("{term}-{}", self.next);
             self.next += 1;
-            self.load(&name, 0)
+            self.add_stored_group(&name, 0)
         });
         self.filling = Some(ix);
         self.add_member(ix, machine);
@@ -133,7 +133,7 @@
     }
 
     /// A group as its key has it, still without members.
-    pub fn load(&mut self, name: &str, version: u64) -> GroupIx {
+    pub fn add_stored_group(&mut self, name: &str, version: u64) -> GroupIx {
         let group = Group {
             name: name.into(),
             version,
--- a/src/fleet/inventory/tests.rs
+++ b/src/fleet/inventory/tests.rs
@@ -54,7 +54,7 @@
 #[test]
 fn a_group_whose_key_is_deleted_goes_unless_machines_joined_it() {
     let mut inventory = Inventory::new(1.0);
-    let group = inventory.load("2-0", 5);
+    let group = inventory.add_stored_group("2-0", 5);
     inventory.add_member(group, MachineIx(0));
     inventory.deleted(group);
     assert_eq!(inventory.groups.get(group).expect("there").version, 0);
