--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -198,12 +198,12 @@
     pub fn deleted(&mut self, ix: GroupIx) {
         match self.groups.get_mut(ix) {
             Some(group) if !group.members.is_empty() => group.version = 0,
-            _ => self.forget(ix),
+            _ => self.remove_group(ix),
         }
     }
 
     /// Its key is gone: nothing is left of the group.
-    pub fn forget(&mut self, ix: GroupIx) {
+    pub fn remove_group(&mut self, ix: GroupIx) {
         if let Some(name) = self.groups.get(ix).map(|group| group.name.clone()) {
             self.groups.remove(&name);
         }
--- a/src/persistence/inventory_groups.rs
+++ b/src/persistence/inventory_groups.rs
@@ -45,7 +45,7 @@
             return;
         }
         if group.members.is_empty() && group.version == 0 {
-            context.inventory.forget(ix);
+            context.inventory.remove_group(ix);
         } else {
             let written = add_group(ix, group, bytes, context, draft);
             draft.content.groups.push(written);
