--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -195,7 +195,7 @@
     }
 
     /// A group's key was deleted. Machines may have joined it meanwhile.
-    pub fn deleted(&mut self, ix: GroupIx) {
+    pub fn confirm_deletion(&mut self, ix: GroupIx) {
         match self.groups.get_mut(ix) {
             Some(group) if !group.members.is_empty() => group.version = 0,
             _ => self.remove_group(ix),
--- a/src/fleet/inventory/tests.rs
+++ b/src/fleet/inventory/tests.rs
@@ -56,9 +56,9 @@
     let mut inventory = Inventory::new(1.0);
     let group = inventory.add_stored_group("2-0", 5);
     inventory.add_member(group, MachineIx(0));
-    inventory.deleted(group);
+    inventory.confirm_deletion(group);
     assert_eq!(inventory.groups.get(group).expect("there").version, 0);
     inventory.remove(group, MachineIx(0));
-    inventory.deleted(group);
+    inventory.confirm_deletion(group);
     assert!(inventory.groups.get(group).is_none());
 }
--- a/src/persistence/inventory_groups.rs
+++ b/src/persistence/inventory_groups.rs
@@ -97,7 +97,7 @@
 pub(super) fn groups_committed(groups: Vec<WrittenGroup>, context: &mut WriteContext<'_>, revision: u64) {
     for WrittenGroup { group: ix, machines } in groups {
         if machines.is_empty() {
-            context.inventory.deleted(ix);
+            context.inventory.confirm_deletion(ix);
             continue;
         }
         context.inventory.written(ix, revision);
