--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -188,7 +188,7 @@
     }
 
     /// A group's key was written at this version.
-    pub fn written(&mut self, ix: GroupIx, version: u64) {
+    pub fn confirm_write(&mut self, ix: GroupIx, version: u64) {
         if let Some(group) = self.groups.get_mut(ix) {
             group.version = version;
         }
--- a/src/fleet/inventory/tests.rs
+++ b/src/fleet/inventory/tests.rs
@@ -43,7 +43,7 @@
     inventory.retry_writes([group]);
     assert_eq!(inventory.due(DueGroups::Urgent), [group].into());
     inventory.write_started(group);
-    inventory.written(group, 7);
+    inventory.confirm_write(group, 7);
     assert_eq!(inventory.groups.get(group).expect("there").version, 7);
     // Nothing waits for an address.
     inventory.address_changed(Some(group));
--- a/src/persistence/inventory_groups.rs
+++ b/src/persistence/inventory_groups.rs
@@ -100,7 +100,7 @@
             context.inventory.confirm_deletion(ix);
             continue;
         }
-        context.inventory.written(ix, revision);
+        context.inventory.confirm_write(ix, revision);
         for name in machines {
             mark_written(&name, context.workers);
         }
