--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -212,7 +212,7 @@
                 .topology
                 .find_offer(&record.machine_type, &record.zone, record.spot)
         {
-            shard.fleet.refuse(offer, now + REFUSED_MS);
+            shard.fleet.suspend_offer(offer, now + REFUSED_MS);
         }
         add_provisioned(shard, now, &record, machines);
         shard.pending_writes.queue_answered_request(AnsweredRequest {
--- a/src/fleet/cloud_calls.rs
+++ b/src/fleet/cloud_calls.rs
@@ -92,7 +92,7 @@
 
     /// The cloud had fewer machines of this offer than were asked for: it is left alone
     /// for a while.
-    pub fn refuse(&mut self, offer: Offer, until: Millis) {
+    pub fn suspend_offer(&mut self, offer: Offer, until: Millis) {
         self.refused.insert(offer, until);
     }
 
