--- a/src/fleet/boot.rs
+++ b/src/fleet/boot.rs
@@ -1,14 +1,15 @@
-//! Machines that should have shown themselves by now.
+//! Detection of machines whose boot is overdue.
 
-use super::health::is_most;
-use super::{FIRST_SIGN_MS, Fleet, FleetContext};
+use super::health::is_majority;
+use super::{FIRST_CONTACT_GRACE_MS, Fleet, FleetContext};
 use crate::resources::Offer;
 use crate::workers::Machine;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The boot of a machine that takes this many boot times is overdue: others are asked for
-/// in its place, and it is used or returned if it comes after all.
-const OVERDUE_BOOTS: f64 = 1.75;
+/// A boot is overdue after this many times the boot time of the machine's type. Other
+/// machines are then requested instead, and the late one is used or returned if it comes up
+/// after all.
+const OVERDUE_BOOT_FACTOR: f64 = 1.75;
 
 /// The machines of one offer that have not reported yet.
 #[derive(Clone, Copy, Debug, Default)]
@@ -18,20 +19,21 @@
 }
 
 impl Fleet {
-    /// Whether a machine should have shown itself by now. One in a silent zone may be
-    /// up and cut off, and a leader that has just begun to hear can't tell yet.
+    /// Whether a machine should have come up by now. This is never assumed of a machine in an
+    /// unresponsive zone, which may be up and cut off, nor by a leader that has only just
+    /// begun to receive reports.
     pub(crate) fn is_boot_overdue(&self, context: &FleetContext<'_>, machine: &Machine) -> bool {
         let workers = context.workers;
         let boot_s = context.topology.boot_s(machine.type_ix);
-        let due_ms = crate::millis(boot_s * OVERDUE_BOOTS + workers.longest_report_interval_s());
+        let due_ms = crate::millis(boot_s * OVERDUE_BOOT_FACTOR + workers.longest_report_interval_s());
         machine.last_sign().is_none()
             && context.now > machine.requested_at + due_ms
-            && context.now > workers.hearing_since + FIRST_SIGN_MS
+            && context.now > workers.hearing_since + FIRST_CONTACT_GRACE_MS
             && !self.unresponsive_zones.contains(&machine.zone)
     }
 
-    /// Offers most of whose machines still to come are overdue: what is asked for there
-    /// now would hardly come sooner.
+    /// Returns the offers most of whose booting machines are overdue. Further machines
+    /// requested from them would hardly come up sooner.
     pub(crate) fn overdue_offers(&self, context: &FleetContext<'_>) -> BTreeSet<Offer> {
         let mut counts: BTreeMap<Offer, BootCounts> = BTreeMap::new();
         for (_, machine) in context.workers.machines.iter() {
@@ -43,7 +45,7 @@
         }
         let overdue = counts
             .into_iter()
-            .filter(|(_, counts)| is_most(counts.overdue, counts.booting));
+            .filter(|(_, counts)| is_majority(counts.overdue, counts.booting));
         overdue.map(|(offer, _)| offer).collect()
     }
 }
--- a/src/fleet/cloud_calls.rs
+++ b/src/fleet/cloud_calls.rs
@@ -1,15 +1,15 @@
-//! How far the calls to the cloud have come that change or list the fleet.
+//! State of the calls to the cloud that list or change the fleet.
 
 use super::{Fleet, MachineRequestRecord};
 use crate::Millis;
 use crate::resources::Offer;
 
-/// How far a kind of call has come of which one is in flight at a time.
+/// State of a kind of call of which at most one is in flight at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallState {
-    /// The next call may be made from this time on.
+    /// No call is in flight, and the next one may be made from this time on.
     NotBefore(Millis),
-    /// A call is made and not answered yet.
+    /// A call has been made and is not answered yet.
     InFlight,
 }
 
@@ -28,34 +28,35 @@
         }
     }
 
-    /// A call is made.
+    /// Marks a call as made.
     pub fn start(&mut self) {
         *self = CallState::InFlight;
     }
 
-    /// The call is over, with or without success; the next one may follow at `at`.
+    /// Marks the call as completed, successfully or not. The next one may be made at `at`.
     pub fn finish(&mut self, at: Millis) {
         *self = CallState::NotBefore(at);
     }
 }
 
-/// A machine request that is written to the state service and not yet answered for good.
+/// A machine request that is written to the state service and that the cloud has not yet
+/// conclusively answered.
 #[derive(Clone, Debug)]
 pub struct PendingMachineRequest {
-    /// What is asked for.
+    /// The stored request.
     pub value: MachineRequestRecord,
-    /// Version of its key.
+    /// Version of its key in the state service.
     pub version: u64,
     call: CallState,
 }
 
 impl Fleet {
-    /// The machine requests that are written and not answered for good.
+    /// The machine requests that are written and not conclusively answered.
     pub fn machine_requests(&self) -> &[PendingMachineRequest] {
         &self.machine_requests
     }
 
-    /// A machine request is in the state service, so the cloud may be asked.
+    /// Adds a machine request that is in the state service and so may be sent to the cloud.
     pub fn add_machine_request(&mut self, value: MachineRequestRecord, version: u64) {
         self.machine_requests.push(PendingMachineRequest {
             value,
@@ -64,7 +65,7 @@
         });
     }
 
-    /// A machine request that is due, which is in flight from now on.
+    /// Returns a machine request that is due, if any, and marks it as in flight.
     pub fn start_machine_request(&mut self, now: Millis) -> Option<MachineRequestRecord> {
         let pending = self
             .machine_requests
@@ -74,8 +75,8 @@
         Some(pending.value.clone())
     }
 
-    /// The call with this request may or may not have been carried out: the very same
-    /// request is sent again, until it is answered.
+    /// Schedules a repetition of this request at `at`, after a call with an unknown outcome.
+    /// The identical request is repeated until it is answered.
     pub fn retry_machine_request(&mut self, request: &str, at: Millis) {
         let mut pending = self.machine_requests.iter_mut();
         if let Some(pending) = pending.find(|pending| pending.value.request == request) {
@@ -83,20 +84,20 @@
         }
     }
 
-    /// The cloud has answered this request for good.
+    /// Removes a request that the cloud has conclusively answered. Returns it if it was pending.
     pub fn finish_machine_request(&mut self, request: &str) -> Option<PendingMachineRequest> {
         let mut pending = self.machine_requests.iter();
         let position = pending.position(|pending| pending.value.request == request)?;
         Some(self.machine_requests.remove(position))
     }
 
-    /// The cloud had fewer machines of this offer than were asked for: it is left alone
-    /// for a while.
+    /// Stops requesting machines of this offer until `until`, after the cloud had fewer of
+    /// them than were requested.
     pub fn suspend_offer(&mut self, offer: Offer, until: Millis) {
-        self.refused.insert(offer, until);
+        self.suspended.insert(offer, until);
     }
 
-    pub(super) fn is_refused(&self, offer: Offer, now: Millis) -> bool {
-        self.refused.get(&offer).is_some_and(|&until| now < until)
+    pub(super) fn is_suspended(&self, offer: Offer, now: Millis) -> bool {
+        self.suspended.get(&offer).is_some_and(|&until| now < until)
     }
 }
--- a/src/fleet/demand.rs
+++ b/src/fleet/demand.rs
@@ -1,76 +1,79 @@
-//! The demand of classes of jobs, and the capacity it calls for.
+//! The demand of each class of jobs and the capacity that it requires.
 
 use crate::Millis;
 use crate::resources::Shape;
 use std::collections::VecDeque;
 
-/// A number of like tasks to have machines ready for.
+/// A number of tasks of the same shape to have capacity for.
 #[derive(Debug)]
 pub(crate) struct CapacityNeed {
-    /// What each task takes, and where it may run.
+    /// The resources of each task and the machines that it may run on.
     pub shape: Shape,
-    /// How many tasks.
+    /// The number of tasks, including headroom.
     pub count: u32,
-    /// Of these, the ones that are there now: worth an on-demand machine where
-    /// spot machines are not to be had.
+    /// How many of them are current demand, for which on-demand machines are bought where
+    /// no spot machines are available.
     pub on_demand_count: u32,
-    /// Runs in what the others leave.
+    /// Whether the tasks only use capacity that other classes leave.
     pub best_effort: bool,
 }
 
-/// How many tasks ask for machines. They are means over time, and so not whole.
+/// The number of tasks that need machines. The counts are averages over time and so may be
+/// fractional.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TaskDemand {
-    /// Wanted at once.
+    /// Tasks that wait or run now.
     pub tasks: f64,
-    /// Of these, what new on-demand machines would still be there for in time.
+    /// How many of them justify buying on-demand machines. Short tasks count for less, since
+    /// they are over by the time a new machine is up.
     pub on_demand: f64,
-    /// The same for spot machines, which need less of a reason.
+    /// How many of them justify buying spot machines, which need less of a reason.
     pub spot: f64,
 }
 
 impl TaskDemand {
-    /// Adds the demand of others.
+    /// Adds each count of `other`.
     pub fn add(&mut self, other: TaskDemand) {
         self.tasks += other.tasks;
         self.on_demand += other.on_demand;
         self.spot += other.spot;
     }
 
-    /// The part that a limit on the number of tasks leaves.
-    pub fn at_most(self, most_tasks: f64) -> TaskDemand {
+    /// Returns the demand with each count limited to `max_tasks`.
+    pub fn capped(self, max_tasks: f64) -> TaskDemand {
         TaskDemand {
-            tasks: self.tasks.min(most_tasks),
-            on_demand: self.on_demand.min(most_tasks),
-            spot: self.spot.min(most_tasks),
+            tasks: self.tasks.min(max_tasks),
+            on_demand: self.on_demand.min(max_tasks),
+            spot: self.spot.min(max_tasks),
         }
     }
 }
 
-/// How many tasks of a class were wanted at one time.
+/// The demand of a class at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DemandSample {
-    /// When.
+    /// When the sample was taken.
     pub at: Millis,
-    /// How many.
+    /// The number of tasks that were waiting or running.
     pub tasks: f64,
 }
 
-/// What the jobs of one class ask of machines, and how many at once.
+/// The demand of the jobs of one class: the shape of their tasks and how many there are.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ClassDemand {
-    /// What a task takes, and where it may run.
+    /// The resources of each task and the machines that it may run on.
     pub shape: Shape,
-    /// Runs in what the others leave, and buys no on-demand machines.
+    /// Whether the tasks only use capacity that other classes leave. No on-demand machines
+    /// are bought for them unless they can't run on spot machines.
     pub best_effort: bool,
-    /// What is wanted now.
+    /// The current demand.
     pub current: TaskDemand,
-    /// What was wanted over the forecast period, the oldest first.
+    /// Samples of the forecast period, oldest first.
     pub samples: VecDeque<DemandSample>,
 }
 
 impl ClassDemand {
-    /// A class of which nothing is wanted yet.
+    /// Creates a class without demand.
     pub fn new(shape: Shape, best_effort: bool) -> ClassDemand {
         ClassDemand {
             shape,
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Notes what is wanted now, and drops what is older than the forecast period.
+    /// Records the current demand and drops samples that are older than `period` milliseconds.
     pub fn add_sample(&mut self, now: Millis, period: Millis) {
         self.samples.push_back(DemandSample {
             at: now,
@@ -90,15 +93,16 @@
         }
     }
 
-    /// Whether any of its tasks was wanted during the forecast period.
+    /// Whether the class had any demand during the forecast period.
     pub fn had_tasks(&self) -> bool {
         self.samples.iter().any(|sample| sample.tasks > 0.0)
     }
 
-    /// How many tasks to be ready for. With fewer samples than `fewest_samples` the mean
-    /// is not trusted in full.
-    pub fn target(&self, headroom: f64, fewest_samples: f64) -> u32 {
-        let count = (self.samples.len() as f64).max(fewest_samples);
+    /// Returns the number of tasks to have capacity for: the current demand, or the mean of
+    /// the samples plus `headroom` as a share of it if that is more. With fewer samples than
+    /// `min_samples`, the missing ones count as zero.
+    pub fn target(&self, headroom: f64, min_samples: f64) -> u32 {
+        let count = (self.samples.len() as f64).max(min_samples);
         let mean = self.samples.iter().map(|sample| sample.tasks).sum::<f64>() / count;
         let expected = mean * (1.0 + headroom);
         expected.max(self.current.on_demand).max(self.current.spot).ceil() as u32
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -1,45 +1,47 @@
-//! Which machines are past use: unresponsive, out of reach, failing, or never up.
+//! Machine health: detects machines that are unresponsive or unreachable, fail tasks,
+//! failed to boot, or are being reclaimed by the cloud.
 
-use super::{FIRST_SIGN_MS, Fleet, FleetContext};
+use super::{FIRST_CONTACT_GRACE_MS, Fleet, FleetContext};
 use crate::Millis;
 use crate::ids::{Index, MachineIx, ZoneIx};
 use crate::workers::{MISSED_ANSWERS_TO_DECOMMISSION, Machine};
 use std::collections::BTreeSet;
 
-/// A machine may take several times its boot time; after this much it is taken for
-/// one that never comes up.
-const BOOT_PATIENCE: f64 = 3.0;
-/// A zone that became unresponsive is waited for this many boot times longer than a
-/// machine that did so alone: until replacements would be there.
-const REPLACEMENT_BOOTS: f64 = 1.5;
-/// Beyond a report's interval: until a report counts as late where the cloud no longer
-/// lists the machine either.
+/// Boot timeout of a machine, as a multiple of the boot time of its type. Machines may
+/// take several times the usual boot time.
+const BOOT_TIMEOUT_FACTOR: f64 = 3.0;
+/// Machines in an unresponsive zone are kept for this many boot times longer than a
+/// machine that becomes unresponsive alone, which is how long replacements would take.
+const REPLACEMENT_BOOT_FACTOR: f64 = 1.5;
+/// Milliseconds beyond the report interval after which a report counts as late if the
+/// cloud does not list the machine either.
 const UNLISTED_GRACE_MS: Millis = 1_500;
-/// A machine is deleted this long before the cloud reclaims it, if work still runs there.
+/// Milliseconds before a spot reclaim at which a machine is deleted if it still runs tasks.
 const RECLAIM_MARGIN_MS: Millis = 1_000;
-/// Fewer machines than this say nothing of all the others.
-const FEWEST_TO_JUDGE_BY: usize = 3;
+/// The fewest machines from which a conclusion is drawn about a whole zone, offer or fleet.
+const MIN_SAMPLE_SIZE: usize = 3;
 
 /// Why a machine is decommissioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Failure {
-    /// Its reports stopped.
+    /// The machine has stopped reporting.
     Unresponsive,
-    /// Missing from a list proves nothing, but together with a late report it is
-    /// reason enough; the deletion is the proof.
+    /// The cloud does not list the machine and a report is late. Absence from a list alone
+    /// proves nothing, but both together justify deleting the machine, and only its
+    /// deletion proves that its tasks are over.
     UnresponsiveAndUnlisted,
-    /// Its reports arrive, but neither answers nor commands reach it.
+    /// Reports arrive from the machine, but neither answers nor commands reach it.
     Unreachable,
-    /// It has not reported since it was requested.
+    /// The machine has not reported since it was requested.
     BootFailed,
-    /// Tasks fail there that succeed elsewhere.
+    /// Tasks fail on the machine that succeed elsewhere.
     FailsTasks,
-    /// The cloud takes it back.
+    /// The cloud is about to reclaim the spot machine.
     Reclaimed,
 }
 
 impl Failure {
-    /// In the order in which they are looked for.
+    /// All failures, in the order in which they are checked.
     const ALL: [Failure; 6] = [
         Failure::Unresponsive,
         Failure::UnresponsiveAndUnlisted,
@@ -49,32 +51,33 @@
         Failure::Reclaimed,
     ];
 
-    fn text(self) -> &'static str {
+    /// The text of this failure in log lines.
+    fn reason(self) -> &'static str {
         match self {
-            Failure::Unresponsive => "silent",
-            Failure::UnresponsiveAndUnlisted => "silent and no longer listed",
-            Failure::Unreachable => "heard, but not reached",
-            Failure::BootFailed => "never came up",
-            Failure::FailsTasks => "fails its tasks",
-            Failure::Reclaimed => "taken by the cloud",
+            Failure::Unresponsive => "unresponsive",
+            Failure::UnresponsiveAndUnlisted => "unresponsive and not listed by the cloud",
+            Failure::Unreachable => "unreachable",
+            Failure::BootFailed => "boot timed out",
+            Failure::FailsTasks => "tasks keep failing",
+            Failure::Reclaimed => "reclaimed by the cloud",
         }
     }
 
-    /// Whether a machine has failed in this way.
+    /// Whether the machine has failed in this way.
     fn applies_to(self, status: &MachineStatus<'_>) -> bool {
         let machine = status.machine;
         match self {
             Failure::Unresponsive => {
                 status.is_unresponsive
-                    && (!status.zone_is_silent || status.is_replaceable() && status.lease_has_expired())
+                    && (!status.zone_is_unresponsive || status.would_be_replaced() && status.lease_has_expired())
             }
             Failure::UnresponsiveAndUnlisted => {
                 machine.cloud_listing.is_missing() && machine.heard_at.is_some() && status.is_report_late()
             }
             Failure::Unreachable => is_unreachable(machine) && !status.fleet.most_unreachable,
             Failure::BootFailed => {
-                status.boot_has_failed()
-                    && status.no_sign_for(status.unresponsive_after_ms)
+                status.boot_has_timed_out()
+                    && status.no_contact_for(status.unresponsive_after_ms)
                     && status.lease_has_expired()
             }
             Failure::FailsTasks => machine.is_sick() && !status.fleet.most_fail_tasks,
@@ -85,80 +88,84 @@
     }
 }
 
-/// What is known of one machine, as far as it bears on its health.
+/// The inputs for the health check of one machine.
 struct MachineStatus<'a> {
     now: Millis,
     machine: &'a Machine,
     fleet: &'a FleetStatus,
     is_unresponsive: bool,
-    zone_is_silent: bool,
+    zone_is_unresponsive: bool,
     unresponsive_after_ms: Millis,
     report_interval_ms: Millis,
     lease_expiry_ms: Millis,
     boot_s: f64,
-    /// Since when nothing was heard of it, though it could have been.
-    no_sign_since: Millis,
+    /// Time of the last contact with the machine, but not before the leader began to
+    /// receive reports.
+    no_contact_since: Millis,
 }
 
 impl MachineStatus<'_> {
-    fn no_sign_for(&self, patience: Millis) -> bool {
-        self.now > self.no_sign_since + patience
+    fn no_contact_for(&self, duration_ms: Millis) -> bool {
+        self.now > self.no_contact_since + duration_ms
     }
 
-    /// A replacement asked for when it became unresponsive would be up by now.
-    fn is_replaceable(&self) -> bool {
-        self.no_sign_for(self.unresponsive_after_ms + crate::millis(self.boot_s * REPLACEMENT_BOOTS))
+    /// Whether a replacement requested when the machine became unresponsive would be up by now.
+    fn would_be_replaced(&self) -> bool {
+        self.no_contact_for(self.unresponsive_after_ms + crate::millis(self.boot_s * REPLACEMENT_BOOT_FACTOR))
     }
 
     fn is_report_late(&self) -> bool {
-        self.no_sign_for(self.report_interval_ms + UNLISTED_GRACE_MS)
+        self.no_contact_for(self.report_interval_ms + UNLISTED_GRACE_MS)
     }
 
-    /// Its worker has dropped its tasks.
+    /// Whether the lease of the machine's worker has expired, in which case the worker has
+    /// dropped its tasks.
     fn lease_has_expired(&self) -> bool {
         self.now > self.machine.answered_at + self.lease_expiry_ms
     }
 
-    fn boot_has_failed(&self) -> bool {
-        let boot_ms = crate::millis(self.boot_s * BOOT_PATIENCE) + FIRST_SIGN_MS;
+    fn boot_has_timed_out(&self) -> bool {
+        let boot_ms = crate::millis(self.boot_s * BOOT_TIMEOUT_FACTOR) + FIRST_CONTACT_GRACE_MS;
         self.machine.last_sign().is_none() && self.now > self.machine.requested_at + boot_ms
     }
 }
 
-/// When a machine was last known to be up.
-struct LastSign {
+/// The last time at which a machine was known to be up.
+struct LastContact {
     machine: MachineIx,
     zone: ZoneIx,
     at: Millis,
 }
 
-/// What is judged of all machines together.
+/// Health figures of all machines together.
+///
+/// Deleting live machines is the costliest mistake, so machines are not decommissioned for
+/// a problem that most of them have at once.
 struct FleetStatus {
     unresponsive: BTreeSet<MachineIx>,
-    /// When most seem not to be reached, or fail their tasks, all at once, it may be
-    /// this controller that is cut off, or the jobs that are at fault, and deleting
-    /// live machines is the costliest mistake.
+    /// Whether most machines seem unreachable. This controller may be cut off instead.
     most_unreachable: bool,
+    /// Whether tasks fail on most machines. The jobs may be at fault instead.
     most_fail_tasks: bool,
 }
 
-/// What follows from the health of the machines.
+/// The result of a health check of all machines.
 #[derive(Debug, Default)]
 pub struct HealthAssessment {
-    /// Machines that count for nothing until they report again.
+    /// Machines that are not used for planning until they report again.
     pub unresponsive: BTreeSet<MachineIx>,
-    /// Machines to be decommissioned: the deletion is the proof that their tasks are over.
+    /// Machines to be decommissioned. Their deletion proves that their tasks are over.
     pub failed: Vec<MachineIx>,
 }
 
 impl Fleet {
-    /// Judges the health of all machines that are not decommissioned yet.
+    /// Checks the health of all machines that are not decommissioned yet.
     pub fn assess_health(&mut self, context: &FleetContext<'_>) -> HealthAssessment {
-        let signs = last_signs(context);
-        // Their machines keep their images and need no boot, so they are waited for as
-        // long as new ones would take.
-        self.unresponsive_zones = unresponsive_zones(context, &signs);
-        let fleet = FleetStatus::new(context, &signs);
+        let contacts = last_contacts(context);
+        // Machines in these zones hold their images and need no boot, so they are kept for
+        // as long as replacements would take to come up.
+        self.unresponsive_zones = unresponsive_zones(context, &contacts);
+        let fleet = FleetStatus::new(context, &contacts);
         let mut failed = Vec::new();
         for (ix, machine) in context.workers.machines.iter() {
             if machine.decommissioned {
@@ -166,7 +173,7 @@
             }
             let status = self.status_of(context, &fleet, ix, machine);
             if let Some(failure) = Failure::ALL.into_iter().find(|failure| failure.applies_to(&status)) {
-                let reason = failure.text();
+                let reason = failure.reason();
                 tracing::info!(machine = machine.name, reason, "decommissioning a machine");
                 failed.push(ix);
             }
@@ -191,40 +198,41 @@
             machine,
             fleet,
             is_unresponsive: fleet.unresponsive.contains(&ix),
-            zone_is_silent: self.unresponsive_zones.contains(&machine.zone),
+            zone_is_unresponsive: self.unresponsive_zones.contains(&machine.zone),
             unresponsive_after_ms: context.unresponsive_after_ms(),
             report_interval_ms: crate::millis(workers.longest_report_interval_s()),
             lease_expiry_ms: workers.lease_expiry_ms,
             boot_s: context.topology.boot_s(machine.type_ix),
-            no_sign_since: last_sign.max(workers.hearing_since),
+            no_contact_since: last_sign.max(workers.hearing_since),
         }
     }
 }
 
 impl FleetStatus {
-    fn new(context: &FleetContext<'_>, signs: &[LastSign]) -> FleetStatus {
+    fn new(context: &FleetContext<'_>, contacts: &[LastContact]) -> FleetStatus {
         let unresponsive_after_ms = context.unresponsive_after_ms();
-        let unresponsive = signs
+        let unresponsive = contacts
             .iter()
-            .filter(|sign| context.now > sign.at + unresponsive_after_ms);
+            .filter(|contact| context.now > contact.at + unresponsive_after_ms);
         let machines = || context.workers.machines.iter().map(|(_, machine)| machine);
         let unreachable = machines().filter(|machine| is_unreachable(machine)).count();
         let fail_tasks = machines().filter(|machine| machine.is_sick()).count();
         FleetStatus {
-            unresponsive: unresponsive.map(|sign| sign.machine).collect(),
-            most_unreachable: is_most(unreachable, signs.len()),
-            most_fail_tasks: is_most(fail_tasks, signs.len()),
+            unresponsive: unresponsive.map(|contact| contact.machine).collect(),
+            most_unreachable: is_majority(unreachable, contacts.len()),
+            most_fail_tasks: is_majority(fail_tasks, contacts.len()),
         }
     }
 }
 
-/// Of the machines that were ever known to be up.
-fn last_signs(context: &FleetContext<'_>) -> Vec<LastSign> {
+/// Returns the last contact with each machine that was ever known to be up. Times before
+/// the leader began to receive reports are replaced by that time.
+fn last_contacts(context: &FleetContext<'_>) -> Vec<LastContact> {
     let hearing_since = context.workers.hearing_since;
     let machines = context.workers.machines.iter();
     machines
         .filter_map(|(ix, machine)| {
-            Some(LastSign {
+            Some(LastContact {
                 machine: ix,
                 zone: machine.zone,
                 at: machine.last_sign()?.max(hearing_since),
@@ -233,25 +241,26 @@
         .collect()
 }
 
-/// Zones most of whose machines have become unresponsive.
+/// Returns the zones most of whose machines have stopped reporting.
 ///
-/// Told by half the silence that it takes of one machine: the first to be given up would
-/// else go one by one before the others, which reported a little later, count as such.
-fn unresponsive_zones(context: &FleetContext<'_>, signs: &[LastSign]) -> BTreeSet<ZoneIx> {
-    let patience = context.unresponsive_after_ms() / 2;
+/// The timeout is half that of a single machine. With the same timeout, the first machines
+/// of a failed zone would be decommissioned one by one before those that reported a little
+/// later count as unresponsive too.
+fn unresponsive_zones(context: &FleetContext<'_>, contacts: &[LastContact]) -> BTreeSet<ZoneIx> {
+    let timeout_ms = context.unresponsive_after_ms() / 2;
     let zones = (0..context.topology.zones.len()).map(ZoneIx::from_usize);
     zones
         .filter(|&zone| {
-            let of_zone = signs.iter().filter(|sign| sign.zone == zone);
-            let silent = of_zone.clone().filter(|sign| context.now > sign.at + patience);
-            is_most(silent.count(), of_zone.count())
+            let of_zone = contacts.iter().filter(|contact| contact.zone == zone);
+            let unresponsive = of_zone.clone().filter(|contact| context.now > contact.at + timeout_ms);
+            is_majority(unresponsive.count(), of_zone.count())
         })
         .collect()
 }
 
-/// Whether `count` is most of `all`, and enough to judge by.
-pub(super) fn is_most(count: usize, all: usize) -> bool {
-    count >= FEWEST_TO_JUDGE_BY && count * 2 > all
+/// Whether `count` is more than half of `all` and at least [`MIN_SAMPLE_SIZE`].
+pub(super) fn is_majority(count: usize, all: usize) -> bool {
+    count >= MIN_SAMPLE_SIZE && count * 2 > all
 }
 
 fn is_unreachable(machine: &Machine) -> bool {
--- a/src/fleet/inventory/tests.rs
+++ b/src/fleet/inventory/tests.rs
@@ -3,7 +3,7 @@
 
 proptest! {
     #[test]
-    fn every_machine_is_in_one_group_within_its_capacity(
+    fn every_machine_belongs_to_one_group_within_the_size_limit(
         ops in proptest::collection::vec((any::<bool>(), 0u32..40), 0..300)
     ) {
         let mut inventory = Inventory::new(1.0);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_group_is_due_until_its_write_starts_and_again_when_it_fails() {
+fn group_is_due_until_its_write_starts_and_again_after_a_failed_write() {
     let mut inventory = Inventory::new(1.0);
     let group = inventory.add(3, MachineIx(0));
     assert!(inventory.has_urgent());
@@ -45,14 +45,14 @@
     inventory.write_started(group);
     inventory.confirm_write(group, 7);
     assert_eq!(inventory.groups.get(group).expect("there").version, 7);
-    // Nothing waits for an address.
+    // A changed address is written, but not urgently.
     inventory.address_changed(Some(group));
     assert!(!inventory.has_urgent());
     assert_eq!(inventory.due(DueGroups::All), [group].into());
 }
 
 #[test]
-fn a_group_whose_key_is_deleted_goes_unless_machines_joined_it() {
+fn group_is_removed_with_its_key_unless_machines_were_added() {
     let mut inventory = Inventory::new(1.0);
     let group = inventory.add_stored_group("2-0", 5);
     inventory.add_member(group, MachineIx(0));
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! Scaling the fleet out and in: what the forecast needs, at what price, and which
-//! machines are past use.
+//! Fleet management: forecasts demand, scales the fleet out and in at the best price, and
+//! detects failed machines.
 //!
-//! The planning reads the rest of the shard through a [`FleetContext`] and returns what
-//! is to be done: machine requests to be written, and machines to be decommissioned.
+//! Planning reads the rest of the shard through a [`FleetContext`] and returns the changes to
+//! be made: machine requests to be written and machines to be decommissioned.
 
 mod boot;
 mod cloud_calls;
@@ -29,49 +29,53 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-const PLAN_EVERY_MS: Millis = 1_000;
-/// The cloud's list is read again this long after its end.
+const PLANNING_INTERVAL_MS: Millis = 1_000;
+/// Milliseconds from the end of one reading of the cloud's machine list to the next.
 pub(crate) const LISTING_INTERVAL_MS: Millis = 3_000;
-/// Beyond a boot: until a new machine is listed or has reported.
-const FIRST_SIGN_MS: Millis = 10_000;
+/// Milliseconds allowed in addition to its boot until a new machine is listed by the cloud or
+/// reports.
+const FIRST_CONTACT_GRACE_MS: Millis = 10_000;
 
-/// A machine request's key, written before the cloud is asked, so that a successor can
-/// repeat the same request and learn what came of it.
+/// Stored value of a machine request. It is written before the request is sent to the cloud,
+/// so that a new leader can repeat the same request and learn its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRequestRecord {
-    /// Name of the request, by which the cloud knows a repetition.
+    /// Name of the request, by which the cloud recognizes a repetition.
     pub request: String,
-    /// Name of the type of the machines.
+    /// Name of the requested machine type in the cloud's catalogue.
     pub machine_type: String,
-    /// Name of the zone.
+    /// Name of the zone in which the machines are requested.
     pub zone: String,
-    /// Whether spot machines are asked for.
+    /// Whether spot machines are requested.
     pub spot: bool,
-    /// How many machines.
+    /// The number of machines requested.
     pub count: u32,
 }
 
-/// What the leader knows of the fleet beyond the single machines.
+/// The leader's state of the fleet as a whole. Single machines are kept in
+/// [`Workers`](crate::workers::Workers).
 #[derive(Debug, Default)]
 pub struct Fleet {
-    /// What a successor must know of the machines.
+    /// The stored list of machines, from which a new leader takes over.
     pub inventory: Inventory,
-    /// The reading of the cloud's list, page by page.
+    /// State of the calls that read the cloud's machine list page by page.
     pub(crate) listing: CallState,
-    /// The deletion of decommissioned machines.
+    /// State of the calls that delete decommissioned machines.
     pub(crate) deletion: CallState,
-    /// Zones most of whose machines have become unresponsive: most likely cut off.
+    /// Zones most of whose machines have become unresponsive, and which are most likely cut off.
     pub(crate) unresponsive_zones: BTreeSet<ZoneIx>,
     machine_requests: Vec<PendingMachineRequest>,
     next_request: u64,
-    /// Offers refused lately, and until when they are left alone.
-    refused: BTreeMap<Offer, Millis>,
+    /// Offers of which the cloud lately had too few machines, and the time until which no
+    /// more are requested.
+    suspended: BTreeMap<Offer, Millis>,
     forecast: Forecast,
     planned_at: Millis,
 }
 
 impl Fleet {
-    /// Nothing known yet; `value_kb` bounds a value of the state service.
+    /// Creates an empty state. `value_kb` is the size limit of a value in the state service,
+    /// in KiB.
     pub fn new(value_kb: f64) -> Fleet {
         Fleet {
             inventory: Inventory::new(value_kb),
@@ -80,17 +84,17 @@
         }
     }
 
-    /// Whether the fleet is to be planned now; if so, the next time is a while from now.
+    /// Whether planning is due. If so, the planning interval starts anew.
     pub fn start_planning(&mut self, now: Millis) -> bool {
-        let is_due = now >= self.planned_at + PLAN_EVERY_MS;
+        let is_due = now >= self.planned_at + PLANNING_INTERVAL_MS;
         if is_due {
             self.planned_at = now;
         }
         is_due
     }
 
-    /// Adds a sample of what is wanted now to the forecast; gives the tasks of each class
-    /// to be ready for.
+    /// Adds a sample of the current demand to the forecast. Returns the tasks of each class to
+    /// have capacity for.
     pub(crate) fn update_forecast(&mut self, context: &FleetContext<'_>) -> Vec<CapacityNeed> {
         self.forecast.update(context)
     }
--- a/src/fleet/offers.rs
+++ b/src/fleet/offers.rs
@@ -1,4 +1,4 @@
-//! The choice of what to buy.
+//! Selection of the cheapest offer for a capacity need.
 
 use super::demand::CapacityNeed;
 use super::{Fleet, FleetContext};
@@ -7,52 +7,53 @@
 use crate::topology::TypeInfo;
 use std::collections::BTreeSet;
 
-/// Which machines tasks are worth that could run on spot machines.
+/// The markets in which machines may be bought for tasks that can run on spot machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PurchaseScope {
-    /// Only cheap ones, such as headroom.
+    /// Only spot machines, as for headroom.
     SpotOnly,
-    /// On-demand ones as well, where spot machines are not to be had.
+    /// On-demand machines as well, where no spot machines are available.
     SpotOrOnDemand,
 }
 
-/// An offer, and how many of the tasks one of its machines takes.
+/// The offer chosen for a need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OfferChoice {
-    /// What to buy.
+    /// The offer to buy a machine of.
     pub offer: Offer,
-    /// How many of the needed tasks one machine has room for.
+    /// How many of the needed tasks fit on one machine.
     pub tasks_per_machine: u32,
 }
 
-/// An offer and what one of its machines costs.
+/// An offer with the price of one of its machines.
 #[derive(Clone, Copy, Debug)]
 struct PricedOffer {
     offer: Offer,
     price: f64,
 }
 
-/// What makes one offer better than another: the least is the best.
+/// Sort key of offers: the smallest is the best. Compared field by field in this order.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct OfferRank {
-    /// Its machines are overdue: taken only where there is no other.
+    /// Whether most of its booting machines are overdue. Such an offer is only chosen if there
+    /// is no other.
     overdue: bool,
     cost_per_task: f64,
-    /// Machines are spread over the zones where the costs are equal.
+    /// Spreads machines over the zones where costs are equal.
     machines_in_zone: u32,
 }
 
-/// The choice of the offers to scale out with.
+/// Chooses the offers to scale out with, one machine after another.
 pub(crate) struct OfferSearch<'a> {
     fleet: &'a Fleet,
     context: &'a FleetContext<'a>,
     overdue_offers: BTreeSet<Offer>,
-    /// By the index of the zone.
+    /// The number of counted machines in each zone, by zone index.
     machines_in_zone: Vec<u32>,
 }
 
 impl<'a> OfferSearch<'a> {
-    /// A search that counts no machines in any zone yet, and no offer as overdue.
+    /// Creates a search with no counted machines and no overdue offers.
     pub(crate) fn new(fleet: &'a Fleet, context: &'a FleetContext<'a>) -> OfferSearch<'a> {
         OfferSearch {
             fleet,
@@ -62,17 +63,18 @@
         }
     }
 
-    /// Puts these offers behind all others.
+    /// Ranks these offers behind all others.
     pub(crate) fn avoid(&mut self, overdue_offers: BTreeSet<Offer>) {
         self.overdue_offers = overdue_offers;
     }
 
-    /// Counts a machine that is there, or asked for, or to be asked for.
+    /// Counts a machine that exists, is requested or is about to be requested in this zone.
     pub(crate) fn count_machine(&mut self, zone: ZoneIx) {
         self.machines_in_zone[zone.usize()] += 1;
     }
 
-    /// The cheapest way to get room for the tasks of a need that are left.
+    /// Returns the offer with the lowest cost per task for the remaining tasks of a need, if
+    /// any machine fits them.
     pub(crate) fn best(&self, need: &CapacityNeed, tasks_left: u32, scope: PurchaseScope) -> Option<OfferChoice> {
         let mut best: Option<(OfferRank, OfferChoice)> = None;
         for (type_ix, info) in self.context.topology.type_info.iter().enumerate() {
@@ -101,8 +103,8 @@
         best.map(|(_, choice)| choice)
     }
 
-    /// The offers of a type that the tasks may use and that are to be had, with their
-    /// prices: by zone, in each zone spot machines first.
+    /// Returns the available offers of a type that the tasks may use, with their prices:
+    /// ordered by zone, and in each zone spot machines first.
     fn offers_of(
         &self,
         type_ix: TypeIx,
@@ -112,7 +114,7 @@
     ) -> impl Iterator<Item = PricedOffer> {
         let on_demand = scope == PurchaseScope::SpotOrOnDemand || !need.shape.spot;
         let zones = info.zones.iter().copied();
-        // New ones in a silent zone could not be reached either.
+        // New machines in an unresponsive zone could not be reached either.
         let zones = zones.filter(move |zone| !self.fleet.unresponsive_zones.contains(zone));
         let offers = zones.flat_map(move |zone| {
             [Market::Spot, Market::OnDemand].map(|market| Offer {
@@ -124,7 +126,7 @@
         offers
             .filter(move |offer| offer.market() == Market::Spot || on_demand)
             .filter(move |&offer| need.shape.allows(offer))
-            .filter(move |offer| !self.fleet.is_refused(*offer, self.context.now))
+            .filter(move |offer| !self.fleet.is_suspended(*offer, self.context.now))
             .filter_map(move |offer| {
                 let price = info.price_in(offer.market())?;
                 Some(PricedOffer { offer, price })
--- a/src/fleet/planned.rs
+++ b/src/fleet/planned.rs
@@ -1,4 +1,4 @@
-//! The machines there are and on their way, into which the forecast is packed.
+//! The existing and requested machines that the forecast tasks are packed onto.
 
 use super::{Fleet, FleetContext, MachineRequestRecord};
 use crate::ids::MachineIx;
@@ -6,16 +6,16 @@
 use crate::resources::Resources;
 use crate::workers::Machine;
 
-/// Whether a machine is there yet.
+/// Whether a machine is known or only requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Origin {
-    /// It has an entry among the machines.
+    /// The machine has an entry in the shard's table of machines.
     Known(MachineIx),
-    /// The cloud has not answered the request for it.
+    /// The cloud has not yet answered the request for the machine.
     Requested,
 }
 
-/// A machine that tasks may be packed into, and what is left of its room.
+/// A machine that forecast tasks may be packed onto, with its remaining capacity.
 #[derive(Debug)]
 pub(crate) struct PlannedMachine {
     origin: Origin,
@@ -26,9 +26,9 @@
 }
 
 impl PlannedMachine {
-    /// Takes room for at most `most` tasks; gives how many it has room for.
-    pub(super) fn take(&mut self, task: Resources, most: u32) -> u32 {
-        let count = self.free.capacity_for(task).min(most);
+    /// Reserves capacity for up to `max_tasks` tasks. Returns the number of tasks that fit.
+    pub(super) fn reserve(&mut self, task: Resources, max_tasks: u32) -> u32 {
+        let count = self.free.capacity_for(task).min(max_tasks);
         for _ in 0..count {
             self.free.subtract(task);
         }
@@ -36,7 +36,7 @@
         count
     }
 
-    /// The machine, if it is there and no task was packed into it.
+    /// Returns the machine if it is known and no task was packed onto it.
     pub(super) fn unused_machine(&self) -> Option<MachineIx> {
         match self.origin {
             Origin::Known(ix) if !self.is_used => Some(ix),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Machines of one offer, asked for by one request.
+/// The machines of one offer that one request asks for.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestedCapacity {
     pub offer: Offer,
@@ -53,8 +53,8 @@
 }
 
 impl Fleet {
-    /// The machines there are and those asked for. Small and busy ones come
-    /// first and so are filled first, idle and on-demand ones last.
+    /// Returns the known and the requested machines in the order in which they are filled:
+    /// small and busy machines first, idle and on-demand machines last.
     pub(crate) fn planned_machines(&self, context: &FleetContext<'_>) -> Vec<PlannedMachine> {
         let mut planned = Vec::with_capacity(context.workers.machines.len());
         for (ix, machine) in context.workers.machines.iter() {
@@ -93,7 +93,7 @@
         !is_leaving && machine.group.is_some() && !self.is_boot_overdue(context, machine)
     }
 
-    /// The machines of all requests that the cloud has not answered yet.
+    /// Returns the machines of all requests that the cloud has not yet answered, written or not.
     pub(super) fn requested_capacity<'a>(
         &'a self,
         context: &FleetContext<'a>,
--- a/src/fleet/provision.rs
+++ b/src/fleet/provision.rs
@@ -1,5 +1,5 @@
-//! Scaling out for what the machines there are can't take of the forecast, at the best
-//! price, and scaling in what stays unused.
+//! Scaling decisions: requests the cheapest machines for forecast tasks that do not fit on
+//! the existing ones, and selects idle machines to be returned.
 
 use super::demand::CapacityNeed;
 use super::offers::{OfferSearch, PurchaseScope};
@@ -9,27 +9,26 @@
 use crate::resources::Offer;
 use std::collections::BTreeMap;
 
-/// Machines asked for at once by one request: the most that the cloud takes.
+/// The largest number of machines that the cloud accepts in one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// Unanswered requests for one offer. More would only queue for the cloud's
-/// rate, and all but the first be in vain where there is no capacity.
-const MAX_PENDING_REQUESTS: usize = 2;
-/// An on-demand machine is returned after this part of the time that a spot machine may
-/// stay unused.
+/// Unanswered requests allowed per offer. More would only queue up behind the cloud's rate
+/// limit, and all but the first would be useless where there is no capacity.
+const MAX_PENDING_REQUESTS_PER_OFFER: usize = 2;
+/// The idle timeout of on-demand machines is that of spot machines divided by this.
 const ON_DEMAND_IDLE_DIVISOR: u64 = 3;
 
-/// What the fleet is to be changed by.
+/// The changes to the fleet that one planning step decided on.
 #[derive(Debug, Default)]
 pub struct ScalingPlan {
-    /// Requests to be written to the state service, and then sent to the cloud.
+    /// Requests to be written to the state service and then sent to the cloud.
     pub machine_requests: Vec<MachineRequestRecord>,
-    /// Machines to be decommissioned, as nothing needs them.
+    /// Machines to be decommissioned because nothing has needed them for long enough.
     pub idle_machines: Vec<MachineIx>,
 }
 
 impl Fleet {
-    /// Packs the forecast into the machines there are and on their way; scales out
-    /// for what is left over and scales in what stays unused.
+    /// Packs the forecast tasks onto the existing and requested machines, requests machines
+    /// for the tasks that do not fit, and selects idle machines to be returned.
     pub(crate) fn plan_scaling(&mut self, context: &FleetContext<'_>, needs: &[CapacityNeed]) -> ScalingPlan {
         let mut machines = self.planned_machines(context);
         let purchases = self.choose_purchases(context, needs, &mut machines);
@@ -39,7 +38,8 @@
         }
     }
 
-    /// How many machines to ask for of each offer, for what finds no room.
+    /// Returns the number of machines to request of each offer for the tasks that do not fit
+    /// on `machines`.
     fn choose_purchases(
         &self,
         context: &FleetContext<'_>,
@@ -71,23 +71,23 @@
         purchases
     }
 
-    /// The requests for these machines, within the limits on the size of the fleet and
-    /// on what is asked for at a time.
+    /// Creates the requests for these machines, within the limits on the size of the fleet,
+    /// the size of a request and the number of pending requests.
     fn request_machines(
         &mut self,
         context: &FleetContext<'_>,
         purchases: BTreeMap<Offer, u32>,
     ) -> Vec<MachineRequestRecord> {
-        // Those decommissioned are there until the cloud says that they are gone.
+        // Decommissioned machines count until the cloud confirms their deletion.
         let requested: u32 = self.requested_capacity(context).map(|requested| requested.count).sum();
         let mut total = context.workers.machines.len() as u32 + requested;
         let mut requests = Vec::new();
         for (offer, count) in purchases {
-            let most = (context.policy.max_machines as u32).saturating_sub(total);
-            let mut left = count.min(most);
+            let limit = (context.policy.max_machines as u32).saturating_sub(total);
+            let mut left = count.min(limit);
             let pending = self.requested_capacity(context).filter(|other| other.offer == offer);
             let mut pending = pending.count();
-            while left > 0 && pending < MAX_PENDING_REQUESTS {
+            while left > 0 && pending < MAX_PENDING_REQUESTS_PER_OFFER {
                 let count = left.min(MAX_MACHINES_PER_REQUEST);
                 requests.push(self.machine_request(context, offer, count));
                 total += count;
@@ -99,7 +99,7 @@
     }
 
     fn machine_request(&mut self, context: &FleetContext<'_>, offer: Offer, count: u32) -> MachineRequestRecord {
-        // The term is ours alone, so the name was never used before.
+        // No other leader has this term, so the name is unique.
         let request = format!("{}-{}-{}", context.shard_name, context.term, self.next_request);
         self.next_request += 1;
         MachineRequestRecord {
@@ -112,7 +112,8 @@
     }
 }
 
-/// Takes room for the needed tasks on these machines; gives how many are left.
+/// Reserves capacity for the needed tasks on these machines. Returns the number of tasks
+/// that did not fit.
 fn pack(machines: &mut [PlannedMachine], need: &CapacityNeed) -> u32 {
     let mut left = need.count;
     for machine in machines {
@@ -122,18 +123,19 @@
         if !need.shape.allows(machine.offer) {
             continue;
         }
-        // Headroom is not worth an on-demand machine.
-        let most = if machine.offer.spot || !need.shape.spot {
+        // An on-demand machine is not kept just for headroom, so tasks beyond
+        // `on_demand_count` are only packed onto spot machines.
+        let limit = if machine.offer.spot || !need.shape.spot {
             left
         } else {
             left.saturating_sub(need.count.saturating_sub(need.on_demand_count))
         };
-        left -= machine.take(need.shape.resources, most);
+        left -= machine.reserve(need.shape.resources, limit);
     }
     left
 }
 
-/// The machines that were left out of the packing and have been idle for long.
+/// Returns the machines that no forecast task was packed onto and whose idle timeout has passed.
 fn idle_machines(context: &FleetContext<'_>, machines: &[PlannedMachine]) -> Vec<MachineIx> {
     let spot_idle_ms = crate::millis(context.policy.idle_return_s);
     let mut idle = Vec::new();
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -1,7 +1,7 @@
 use super::demand::{ClassDemand, DemandSample, TaskDemand};
 
 #[test]
-fn the_target_covers_what_waits_and_the_mean_with_headroom() {
+fn target_covers_current_demand_and_mean_with_headroom() {
     let demand = ClassDemand {
         current: TaskDemand {
             tasks: 9.0,
@@ -12,7 +12,7 @@
         ..ClassDemand::default()
     };
     assert_eq!(demand.target(0.25, 2.0), 13);
-    // Few samples are not trusted in full.
+    // Missing samples count as zero.
     assert_eq!(demand.target(0.25, 20.0), 5);
     assert_eq!(ClassDemand::default().target(0.25, 2.0), 0);
 }
