--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -206,7 +206,7 @@
     let (fleet, context) = shard.fleet_and_context(13_000);
     let best = |overdue: BTreeSet<Offer>| {
         let mut search = OfferSearch::new(fleet, &context);
-        search.avoid(overdue);
+        search.set_overdue_offers(overdue);
         search.best(&needs[0], 1, PurchaseScope::SpotOrOnDemand)
     };
     let usual = best(BTreeSet::new()).expect("one").offer;
--- a/src/fleet/offers.rs
+++ b/src/fleet/offers.rs
@@ -64,7 +64,7 @@
     }
 
     /// Ranks these offers behind all others.
-    pub(crate) fn avoid(&mut self, overdue_offers: BTreeSet<Offer>) {
+    pub(crate) fn set_overdue_offers(&mut self, overdue_offers: BTreeSet<Offer>) {
         self.overdue_offers = overdue_offers;
     }
 
--- a/src/fleet/provision.rs
+++ b/src/fleet/provision.rs
@@ -47,7 +47,7 @@
         machines: &mut [PlannedMachine],
     ) -> BTreeMap<Offer, u32> {
         let mut search = OfferSearch::new(self, context);
-        search.avoid(self.overdue_offers(context));
+        search.set_overdue_offers(self.overdue_offers(context));
         for machine in machines.iter() {
             search.count_machine(machine.offer.zone);
         }
