--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,17 +1,18 @@
-//! Names become dense indices on input; inside, everything is an index. Each kind of
-//! thing has an index type of its own, so that one can't be used for another.
+//! Dense indices for named entities. Names are converted to indices on input, and all other
+//! code uses indices. Each kind of entity has its own index type, so that an index of one kind
+//! can't be used for another.
 
 use std::collections::HashMap;
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// The index of one kind of thing. Indices are dense, begin at 0, are ordered as
-/// numbers, and mean nothing outside of this process.
+/// An index of one kind of entity. Indices are dense, start at 0, are ordered by number and
+/// are only valid within this process.
 pub trait Index: Copy + Debug + Ord + Hash {
-    /// The index of the thing at this place of a vector.
-    fn from_usize(place: usize) -> Self;
+    /// Converts a position in a vector with one entry per index to an index.
+    fn from_usize(position: usize) -> Self;
 
-    /// The place of the thing in a vector that holds one entry for each index.
+    /// Returns the position of the entity in a vector with one entry per index.
     fn usize(self) -> usize;
 }
 
@@ -23,8 +24,8 @@
         pub struct $name(pub u32);
 
         impl Index for $name {
-            fn from_usize(place: usize) -> $name {
-                $name(place as u32)
+            fn from_usize(position: usize) -> $name {
+                $name(position as u32)
             }
 
             fn usize(self) -> usize {
@@ -35,37 +36,37 @@
 }
 
 index_types! {
-    /// A machine that this leader knows of.
+    /// Index of a machine that this leader knows.
     MachineIx;
-    /// A job of this shard.
+    /// Index of a job of this shard.
     JobIx;
-    /// An open attempt at a task.
+    /// Index of an open attempt of a task.
     AttemptIx;
-    /// A type of machine in the cloud's catalogue.
+    /// Index of a machine type, by the name used in the cloud's catalogue.
     TypeIx;
-    /// A zone of the cloud.
+    /// Index of a zone of the cloud.
     ZoneIx;
-    /// A container image.
+    /// Index of a container image.
     ImageIx;
-    /// A team whose jobs share a guarantee and a limit.
+    /// Index of a team, whose jobs share a guarantee and a limit.
     TeamIx;
-    /// A class of jobs whose tasks ask for the same machines.
+    /// Index of a class of jobs whose tasks need the same kind of machines.
     ClassIx;
-    /// A group of machines that share a key of the inventory.
+    /// Index of a group of machines that share a key of the inventory.
     GroupIx;
 }
 
-/// A chunk of a job's tasks, which are written under one key.
+/// Identifies a chunk of a job's tasks. The tasks of a chunk are stored under one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChunkId {
     /// The job that the tasks belong to.
     pub job: JobIx,
-    /// The place of the chunk among the job's chunks.
+    /// Position of the chunk among the job's chunks, starting at 0.
     pub number: u32,
 }
 
-/// Gives each name a small index for good. For sets that stay small: types,
-/// zones, teams, images.
+/// Assigns a permanent index to each name. Meant for sets that stay small, such as types,
+/// zones, teams and images, because names are never removed.
 #[derive(Debug, Clone)]
 pub struct Interner<K> {
     by_name: HashMap<String, K>,
@@ -82,7 +83,7 @@
 }
 
 impl<K: Index> Interner<K> {
-    /// The index of a name, which is given one if it has none yet.
+    /// Returns the index of a name, and assigns the next index if the name is new.
     pub fn intern(&mut self, name: &str) -> K {
         if let Some(&ix) = self.by_name.get(name) {
             return ix;
@@ -93,28 +94,28 @@
         ix
     }
 
-    /// The index of a name that has one.
+    /// Returns the index of a name, if one is assigned.
     pub fn get(&self, name: &str) -> Option<K> {
         self.by_name.get(name).copied()
     }
 
-    /// The name that has this index.
+    /// Returns the name with this index.
     pub fn name(&self, ix: K) -> &str {
         &self.names[ix.usize()]
     }
 
-    /// How many names have an index.
+    /// Returns the number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether no name has an index yet.
+    /// Whether there are no names yet.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 }
 
-/// A table of named things that come and go; a freed index is used again.
+/// A table of named entries with an index each. The index of a removed entry is reused.
 #[derive(Debug)]
 pub struct Table<K, T> {
     by_name: HashMap<String, K>,
@@ -133,7 +134,7 @@
 }
 
 impl<K: Index, T> Table<K, T> {
-    /// Adds a thing, or replaces the one of this name, which keeps its index.
+    /// Adds an entry, or replaces the one with this name under the same index. Returns the index.
     pub fn insert(&mut self, name: &str, value: T) -> K {
         if let Some(&ix) = self.by_name.get(name) {
             self.slots[ix.usize()] = Some(value);
@@ -148,29 +149,29 @@
         ix
     }
 
-    /// Removes the thing of this name; its index may be given to another.
+    /// Removes and returns the entry with this name. Its index may be assigned to another entry.
     pub fn remove(&mut self, name: &str) -> Option<T> {
         let ix = self.by_name.remove(name)?;
         self.free.push(ix);
         self.slots[ix.usize()].take()
     }
 
-    /// The index of the thing of this name.
+    /// Returns the index of the entry with this name.
     pub fn find(&self, name: &str) -> Option<K> {
         self.by_name.get(name).copied()
     }
 
-    /// The thing that has this index, if it is still there.
+    /// Returns the entry with this index, or `None` if it was removed.
     pub fn get(&self, ix: K) -> Option<&T> {
         self.slots.get(ix.usize())?.as_ref()
     }
 
-    /// The thing that has this index, if it is still there, to be changed.
+    /// Returns a mutable reference to the entry with this index, or `None` if it was removed.
     pub fn get_mut(&mut self, ix: K) -> Option<&mut T> {
         self.slots.get_mut(ix.usize())?.as_mut()
     }
 
-    /// All things in the order of their indices.
+    /// Returns an iterator over all entries in the order of their indices.
     pub fn iter(&self) -> impl Iterator<Item = (K, &T)> {
         self.slots
             .iter()
@@ -178,7 +179,7 @@
             .filter_map(|(ix, slot)| slot.as_ref().map(|value| (K::from_usize(ix), value)))
     }
 
-    /// All things in the order of their indices, to be changed.
+    /// Returns a mutable iterator over all entries in the order of their indices.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (K, &mut T)> {
         self.slots
             .iter_mut()
@@ -186,17 +187,17 @@
             .filter_map(|(ix, slot)| slot.as_mut().map(|value| (K::from_usize(ix), value)))
     }
 
-    /// The indices in use, in order.
+    /// Returns the indices in use, in ascending order.
     pub fn indices(&self) -> Vec<K> {
         self.iter().map(|(ix, _)| ix).collect()
     }
 
-    /// How many things there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether there is nothing in the table.
+    /// Whether the table has no entries.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
--- a/src/ids/tests.rs
+++ b/src/ids/tests.rs
@@ -3,7 +3,7 @@
 
 proptest! {
     #[test]
-    fn a_table_agrees_with_a_map(ops in proptest::collection::vec((0u8..12, any::<bool>(), any::<u16>()), 0..200)) {
+    fn table_behaves_like_a_map(ops in proptest::collection::vec((0u8..12, any::<bool>(), any::<u16>()), 0..200)) {
         let mut table = Table::<JobIx, u16>::default();
         let mut model = HashMap::new();
         for (name, insert, value) in ops {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! sumacbend: a cluster scheduler whose controllers keep all state in a small
-//! consistent store and share the work of one pool of machines.
+//! consistent store and share the work of managing one pool of machines.
 //!
-//! Every slice keeps its own state and messages; [`controller`] composes them
-//! into one deterministic state machine and [`runtime`] alone does I/O.
+//! Each module owns its state and messages. [`controller`] composes the modules into one
+//! deterministic state machine, and only [`runtime`] performs I/O.
 
 pub mod admission;
 pub mod controller;
@@ -23,24 +23,27 @@
 pub mod wire;
 pub mod workers;
 
-/// Milliseconds, on the monotonic clock of this process unless a name says otherwise.
+/// A duration or a point in time in milliseconds. Points in time are on the monotonic clock of
+/// this process unless a name says otherwise.
 pub type Millis = u64;
 
-/// The time of a step on both clocks. Leases and waits use the monotonic clock; only
-/// times that must outlive a process (submission times) use the wall clock.
+/// The current time on both clocks. Leases and timeouts use the monotonic clock. Only times
+/// that must remain valid in another process (submission times) use the wall clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
-    /// On the monotonic clock of this process.
+    /// Time on the monotonic clock of this process.
     pub monotonic: Millis,
-    /// On the wall clock, since the Unix epoch.
+    /// Wall-clock time since the Unix epoch.
     pub wall_clock: Millis,
 }
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
-/// Beyond any time that means something, and exact as a floating-point number.
+/// Upper bound of converted times. It is longer than any meaningful time, and every integer up
+/// to it is exactly representable as `f64`.
 const MAX_MILLIS: f64 = 1e15;
 
-/// Converts seconds as the protocols give them; hostile values saturate.
+/// Converts seconds, as used by the protocols, to milliseconds. Out-of-range values, which a
+/// peer may send, saturate at 0 or [`MAX_MILLIS`].
 pub fn millis(seconds: f64) -> Millis {
     (seconds.max(0.0) * MILLIS_PER_SECOND).min(MAX_MILLIS) as Millis
 }
--- a/src/memory.rs
+++ b/src/memory.rs
@@ -1,35 +1,35 @@
-//! How much memory a controller's state takes, and the bound on work that follows.
+//! Memory use of a controller's state, and the resulting limit on unfinished work.
 //!
-//! `tests/memory.rs` counts allocated bytes and holds these figures to what it finds.
+//! `tests/memory.rs` counts allocated bytes and checks these figures against them.
 
 use crate::settings::Limits;
 use crate::store::WatchCache;
 
-/// Bytes of a machine as the leader knows it, after its first report and without tasks.
+/// Bytes that a leader holds for a machine after its first report, without tasks.
 pub const MACHINE_BYTES: usize = 700;
-/// Bytes of an attempt at a task that is open on a machine.
+/// Bytes that a leader holds for an open attempt of a task on a machine.
 pub const OPEN_TASK_BYTES: usize = 180;
-/// Bytes of an unfinished job, without its tasks: in the watch cache of every controller,
-/// and at the leader.
+/// Bytes that a leader holds for an unfinished job without its tasks, including the job's entry
+/// in the watch cache, which every controller has.
 pub const JOB_BYTES: usize = 1_900;
-/// Bytes of a thousand tasks of an unfinished job, whatever their state.
+/// Bytes that a leader holds for a thousand tasks of an unfinished job in any state.
 pub const THOUSAND_TASKS_BYTES: usize = 450;
-/// Bytes of a job that has ended and is not cleaned up yet, at a follower.
+/// Bytes that a follower holds for a job that has ended and is not cleaned up yet.
 pub const ENDED_JOB_BYTES: usize = 1_000;
 
-/// Part of the memory that unfinished jobs may take. What is left holds connections,
-/// machines, open tasks, messages and the program itself (docs/operations.md).
-const UNFINISHED_PART: f64 = 0.2;
+/// Share of the memory that unfinished jobs may take. The rest is for connections, machines,
+/// open tasks, messages and the program itself (see docs/operations.md).
+const UNFINISHED_JOBS_SHARE: f64 = 0.2;
 const BYTES_PER_MB: f64 = 1e6;
 const TASKS_PER_THOUSAND: f64 = 1_000.0;
 
-/// Whether there is room for one more job of so many tasks beside the watched ones. Any
-/// controller may become the leader, so each reckons with what the leader holds.
+/// Whether there is memory for a new job with this number of tasks in addition to the watched
+/// jobs. Any controller may become the leader, so each counts what a leader would hold.
 pub fn has_memory_for_job(limits: &Limits, watched: &WatchCache, tasks: u32) -> bool {
     let all_tasks = watched.tasks() + u64::from(tasks);
     let jobs_bytes = (watched.jobs().len() + 1) as f64 * JOB_BYTES as f64;
     let tasks_bytes = all_tasks as f64 / TASKS_PER_THOUSAND * THOUSAND_TASKS_BYTES as f64;
-    jobs_bytes + tasks_bytes <= limits.memory_mb * BYTES_PER_MB * UNFINISHED_PART
+    jobs_bytes + tasks_bytes <= limits.memory_mb * BYTES_PER_MB * UNFINISHED_JOBS_SHARE
 }
 
 #[cfg(test)]
--- a/src/memory/tests.rs
+++ b/src/memory/tests.rs
@@ -15,8 +15,8 @@
     }
 }
 
-/// Jobs of so many tasks that are admitted within 85 MB.
-fn admitted(tasks: u32) -> usize {
+/// Returns how many jobs with this number of tasks are admitted with 85 MB of memory.
+fn count_admitted_jobs(tasks: u32) -> usize {
     let limits = Limits {
         cpu_share: 0.03,
         memory_mb: 85.0,
@@ -30,21 +30,21 @@
     watched.jobs().len()
 }
 
-/// Guards against a controller that ends for memory: work is refused before.
+/// Guards against a controller that runs out of memory: new jobs must be refused before.
 #[test]
-fn unfinished_work_is_admitted_up_to_its_part_of_the_memory() {
-    let part = 85e6 * UNFINISHED_PART;
+fn unfinished_jobs_are_admitted_up_to_their_share_of_memory() {
+    let share_bytes = 85e6 * UNFINISHED_JOBS_SHARE;
     assert_eq!(
-        admitted(1),
-        (part / (JOB_BYTES as f64 + THOUSAND_TASKS_BYTES as f64 / 1_000.0)) as usize
+        count_admitted_jobs(1),
+        (share_bytes / (JOB_BYTES as f64 + THOUSAND_TASKS_BYTES as f64 / 1_000.0)) as usize
     );
-    let large = JOB_BYTES as f64 + 100.0 * THOUSAND_TASKS_BYTES as f64;
-    assert_eq!(admitted(100_000), (part / large) as usize);
+    let large_job_bytes = JOB_BYTES as f64 + 100.0 * THOUSAND_TASKS_BYTES as f64;
+    assert_eq!(count_admitted_jobs(100_000), (share_bytes / large_job_bytes) as usize);
 }
 
-/// What was learned and forgotten again leaves nothing behind.
+/// Guards against counting the tasks of a job again each time its record is updated.
 #[test]
-fn a_job_learned_twice_counts_once() {
+fn job_recorded_twice_counts_once() {
     let mut watched = WatchCache::default();
     watched.record_job("j-1", job(1, 10), 1);
     watched.record_job("j-1", job(1, 30), 2);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,12 +1,12 @@
-//! The operators' own settings: a Lua script that returns a table of tuning
-//! values. Everything has a default, and every value is checked.
+//! Scheduling policy: a Lua script by which operators set tuning values. The script returns a
+//! table. Every value has a default and is checked against its range.
 
 use mlua::{Lua, LuaOptions, StdLib, Table, Value};
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a policy script is refused.
+/// The reason why a policy script is rejected.
 #[derive(Debug, Error)]
 pub enum PolicyError {
     /// The script can't be read.
@@ -14,37 +14,37 @@
     Read {
         /// Path of the script.
         path: PathBuf,
-        /// What the system says.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The script is not Lua, or an error was raised in it.
+    /// The script is not valid Lua or raised an error.
     #[error("the policy script failed: {0}")]
     Script(#[from] mlua::Error),
-    /// The script returned something else.
+    /// The script returned a value that is not a table.
     #[error("the policy script must return a table")]
     NotATable,
-    /// The table holds a name that is no policy value.
+    /// The table has a key that is not the name of a policy value.
     #[error("policy value `{0}` is unknown")]
     Unknown(String),
-    /// A policy value is of another type.
+    /// A policy value is not a number.
     #[error("policy value `{0}` must be a number")]
     NotANumber(String),
-    /// A policy value is not in the range that makes sense for it.
+    /// A policy value is outside its accepted range.
     #[error("policy value `{name}` is {value}, outside {low} to {high}")]
     OutOfRange {
         /// Name of the policy value.
         name: String,
-        /// The number given.
+        /// The number that the script returned for it.
         value: f64,
-        /// The smallest number that is accepted.
+        /// The smallest accepted number.
         low: f64,
-        /// The largest number that is accepted.
+        /// The largest accepted number.
         high: f64,
     },
 }
 
-/// Declares [`Policy`] from one line for each value, with its default and range, so
-/// that a new value can't be forgotten in one of the places that list them all.
+/// Declares [`Policy`] from one line per value with its default and range, so that a new
+/// value can't be missing from one of the places that list all values.
 macro_rules! policy {
     ($($(#[doc = $doc:literal])* $name:ident: $default:literal in $low:literal..=$high:literal;)*) => {
         /// The tuning values that operators may set.
@@ -60,21 +60,22 @@
         }
 
         impl Policy {
-            /// The name and the value of each, in the order of their declaration.
+            /// Returns the names and values in the order of their declaration.
             pub fn entries(&self) -> Vec<(&'static str, f64)> {
                 vec![$((stringify!($name), self.$name),)*]
             }
 
-            /// Sets the value of this name, if it is in its range.
+            /// Sets the value with this name. Fails if the name is unknown or the value is
+            /// out of range.
             fn set(&mut self, name: &str, value: f64) -> Result<(), PolicyError> {
-                let (slot, low, high) = match name {
+                let (field, low, high) = match name {
                     $(stringify!($name) => (&mut self.$name, $low, $high),)*
                     _ => return Err(PolicyError::Unknown(name.into())),
                 };
                 if !(low..=high).contains(&value) {
                     return Err(PolicyError::OutOfRange { name: name.into(), value, low, high });
                 }
-                *slot = value;
+                *field = value;
                 Ok(())
             }
         }
@@ -82,26 +83,27 @@
 }
 
 policy! {
-    /// Longest wait of a released task for the machine that holds its image.
+    /// Longest time in seconds that a released task waits for a machine that holds its image.
     locality_wait_s: 1.5 in 0.0..=60.0;
-    /// How long a task waits for room before tasks of lower priority are stopped.
+    /// Seconds that a job waits for capacity before tasks of lower priority are preempted.
     preempt_wait_s: 0.5 in 0.0..=3600.0;
-    /// Longest run of a task that may be lost by stopping it for another.
+    /// Longest run time in seconds that a task may lose by being preempted.
     preempt_lost_s: 15.0 in 0.0..=3600.0;
-    /// How long a machine stays unused before it is returned.
+    /// Seconds that a spot machine may stay idle before it is returned. On-demand machines are
+    /// returned sooner.
     idle_return_s: 40.0 in 0.0..=3600.0;
-    /// Machines kept beyond the forecast, as a share of it.
+    /// Capacity kept in addition to the mean demand of the forecast, as a share of it.
     headroom: 0.25 in 0.0..=4.0;
-    /// Silence after which a machine is given up, in report intervals.
+    /// Report intervals without a report after which a machine counts as unresponsive.
     silent_reports: 4.0 in 2.0..=20.0;
-    /// Longest period over which demand is remembered for the forecast.
+    /// Period in seconds over which the forecast takes demand into account.
     forecast_s: 90.0 in 5.0..=3600.0;
-    /// Most machines kept at once, whatever the forecast says.
+    /// The most machines at the same time, whatever the forecast.
     max_machines: 20000.0 in 1.0..=100000.0;
 }
 
 impl Policy {
-    /// Runs a policy script; without one, everything has its default.
+    /// Loads the policy script at `path`, or returns the defaults if there is none.
     pub fn load(path: Option<&Path>) -> Result<Policy, PolicyError> {
         let Some(path) = path else {
             return Ok(Policy::default());
@@ -113,10 +115,10 @@
         Policy::parse(&script)
     }
 
-    /// Runs the text of a policy script.
+    /// Runs a policy script and returns the policy with the values that it sets.
     pub fn parse(script: &str) -> Result<Policy, PolicyError> {
-        // Only arithmetic, tables and strings: a policy has no business with
-        // files or processes.
+        // Provides only arithmetic, tables and strings, since a policy must not access files
+        // or processes.
         let libraries = StdLib::MATH | StdLib::TABLE | StdLib::STRING;
         let lua = Lua::new_with(libraries, LuaOptions::default())?;
         match lua.load(script).set_name("policy").eval()? {
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_script_sets_values_and_is_checked() {
+fn script_sets_values_and_invalid_scripts_are_rejected() {
     let policy = Policy::parse("local h = 0.5\nreturn { headroom = h * 2, idle_return_s = 10 }");
     let policy = policy.expect("valid");
     assert_eq!((policy.headroom, policy.idle_return_s), (1.0, 10.0));
@@ -21,10 +21,10 @@
     assert!(matches!(Policy::parse("return os.time()"), Err(PolicyError::Script(_))));
 }
 
-/// The table of values is the only place that knows their ranges: each default must be
-/// in its own.
+/// Guards against a default outside the range that is declared with it, which a script could
+/// not set.
 #[test]
-fn every_default_is_in_its_range() {
+fn every_default_is_within_its_range() {
     for (name, value) in Policy::default().entries() {
         let set = Policy::parse(&format!("return {{ {name} = {value} }}"));
         assert_eq!(set.expect(name), Policy::default());
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -1,26 +1,27 @@
-//! What tasks ask for: amounts of CPUs, GPUs and memory, and the machines that they may
-//! run on.
+//! Resource amounts (CPUs, GPUs and memory), offers of the cloud, and the machines that a
+//! task may run on.
 
 use crate::ids::{TypeIx, ZoneIx};
 
-/// Amounts are sums of floating-point numbers: a task fits if it lacks no more than this.
+/// Amounts are sums of floating-point numbers, so a task still fits if it exceeds an amount
+/// by no more than this.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
-/// The most tasks that are counted to fit into one amount of resources.
-const MAX_CAPACITY: f64 = 100_000.0;
+/// Upper bound of the number of tasks that [`Resources::capacity_for`] returns.
+const MAX_TASK_COUNT: f64 = 100_000.0;
 
-/// Amounts of resources: what a task takes of its machine, or a machine offers.
+/// Amounts of resources that a task needs or a machine offers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// CPU cores.
+    /// Number of CPU cores, which may be fractional.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// CPUs and GPUs only, as the quotas of teams count them.
+    /// Creates amounts of CPUs and GPUs without memory, as counted by the quotas of teams.
     pub fn without_memory(cpus: f64, gpus: f64) -> Resources {
         Resources {
             cpus,
@@ -29,33 +30,33 @@
         }
     }
 
-    /// Adds each amount.
+    /// Adds each amount of `other`.
     pub fn add(&mut self, other: Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    /// Subtracts each amount; none falls below zero.
+    /// Subtracts each amount of `other`. No amount falls below zero.
     pub fn subtract(&mut self, other: Resources) {
         self.cpus = (self.cpus - other.cpus).max(0.0);
         self.gpus = (self.gpus - other.gpus).max(0.0);
         self.memory_gb = (self.memory_gb - other.memory_gb).max(0.0);
     }
 
-    /// What is left after `other` is subtracted; no amount falls below zero.
+    /// Returns the amounts that are left after subtracting `other`. No amount falls below zero.
     pub fn saturating_sub(mut self, other: Resources) -> Resources {
         self.subtract(other);
         self
     }
 
-    /// Whether `other` fits into these amounts.
+    /// Whether each amount of `other` is at most the one here, up to rounding errors.
     pub fn fits(&self, other: Resources) -> bool {
         let fits = |available: f64, needed: f64| needed <= available + ROUNDING_TOLERANCE;
         fits(self.cpus, other.cpus) && fits(self.gpus, other.gpus) && fits(self.memory_gb, other.memory_gb)
     }
 
-    /// How many tasks that each take `task` fit into these amounts at once.
+    /// Returns how many tasks that each need `task` fit into these amounts at the same time.
     pub fn capacity_for(&self, task: Resources) -> u32 {
         let times = |available: f64, needed: f64| {
             if needed <= 0.0 {
@@ -67,48 +68,48 @@
         let tasks = times(self.cpus, task.cpus)
             .min(times(self.gpus, task.gpus))
             .min(times(self.memory_gb, task.memory_gb));
-        tasks.clamp(0.0, MAX_CAPACITY) as u32
+        tasks.clamp(0.0, MAX_TASK_COUNT) as u32
     }
 }
 
-/// On which terms a machine is bought.
+/// The purchasing option under which a machine is rented.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Market {
-    /// At a lower price, and the cloud may reclaim it at short notice.
+    /// Cheaper, but the cloud may reclaim the machine at short notice.
     Spot,
-    /// At the full price, for as long as it is wanted.
+    /// At the full price, until the machine is deleted.
     OnDemand,
 }
 
-/// One thing that the cloud sells: machines of a type, in a zone, as spot or on-demand
-/// machines. Capacity, refusals and failed boots are counted for each offer by itself.
+/// Machines of one type in one zone, either spot or on-demand. Capacity, refusals and failed
+/// boots are counted separately for each offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
-    /// The type of the machines.
+    /// The machine type.
     pub type_ix: TypeIx,
-    /// Where they are.
+    /// The zone that the machines are in.
     pub zone: ZoneIx,
-    /// Whether they are spot machines, and not on-demand ones.
+    /// Whether the machines are spot machines rather than on-demand ones.
     pub spot: bool,
 }
 
 impl Offer {
-    /// On which terms its machines are bought.
+    /// Returns the purchasing option of this offer.
     pub fn market(&self) -> Market {
         if self.spot { Market::Spot } else { Market::OnDemand }
     }
 }
 
-/// What a task takes and which machines it may run on.
+/// The resources that a task needs and the machines that it may run on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shape {
-    /// What the task takes of its machine.
+    /// The resources that the task needs on its machine.
     pub resources: Resources,
-    /// Machine types that it may run on. `None`: any.
+    /// The machine types that the task may run on. `None` means any.
     pub types: Option<Vec<TypeIx>>,
-    /// The only zone that it may run in. `None`: any.
+    /// The only zone that the task may run in. `None` means any.
     pub zone: Option<ZoneIx>,
-    /// Whether it may run on spot machines.
+    /// Whether the task may run on spot machines.
     pub spot: bool,
 }
 
@@ -120,13 +121,14 @@
             && self.zone.is_none_or(|only| only == offer.zone)
     }
 
-    /// Whether both may run on the same machines, whatever they take there.
+    /// Whether tasks of both shapes may run on the same machines, regardless of the resources
+    /// that they need.
     pub fn allows_same_machines(&self, other: &Shape) -> bool {
         (&self.types, self.zone, self.spot) == (&other.types, other.zone, other.spot)
     }
 
-    /// Whether it asks for all that `other` asks for: where there is no room for
-    /// `other` there is none for it either.
+    /// Whether this shape is at least as demanding as `other` in every respect, so that it
+    /// fits nowhere that `other` does not fit.
     pub fn needs_at_least(&self, other: &Shape) -> bool {
         let types_within = match (&self.types, &other.types) {
             (_, None) => true,
--- a/src/topology.rs
+++ b/src/topology.rs
@@ -1,33 +1,33 @@
-//! The machine types and zones of the cloud, under dense indices.
+//! The machine types and zones of the cloud, with an index for each.
 
 use crate::ids::{Index, Interner, TypeIx, ZoneIx};
 use crate::resources::{Market, Offer, Resources};
 use crate::wire::{Catalogue, MachineType};
 
-/// Boot time of a type that the catalogue does not give.
+/// Boot time in seconds assumed for a type that the catalogue does not list.
 const UNKNOWN_BOOT_S: f64 = 60.0;
 
-/// A type of machine as the catalogue gives it.
+/// A machine type as listed in the cloud's catalogue.
 #[derive(Clone, Debug)]
 pub struct TypeInfo {
-    /// What a machine of this type has room for.
+    /// The resources that a machine of this type offers to tasks.
     pub resources: Resources,
-    /// Room for images.
+    /// Size of the image cache in GB.
     pub cache_gb: f64,
-    /// How fast images are fetched.
+    /// Rate at which images are fetched, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Price of an on-demand machine.
+    /// Hourly price of an on-demand machine.
     pub price: f64,
-    /// Price of a spot machine, if the type is offered as one.
+    /// Hourly price of a spot machine. `None` if the type is not offered as spot machines.
     pub spot_price: Option<f64>,
-    /// Time from the request for a machine until its worker reports.
+    /// Seconds from the request for a machine until its worker reports.
     pub boot_s: f64,
     /// The zones in which the type is offered.
     pub zones: Vec<ZoneIx>,
 }
 
 impl TypeInfo {
-    /// Price of a machine in this market, if the type is offered there.
+    /// Returns the hourly price of a machine in this market, if the type is offered there.
     pub fn price_in(&self, market: Market) -> Option<f64> {
         match market {
             Market::Spot => self.spot_price,
@@ -36,20 +36,21 @@
     }
 }
 
-/// The types of machines and the zones that are known by name, from the settings, the
-/// catalogue, jobs or machines.
+/// All machine types and zones whose names occur in the settings, the catalogue, jobs or
+/// machines.
 #[derive(Debug, Default)]
 pub struct Topology {
     /// Indices of the types.
     pub types: Interner<TypeIx>,
     /// Indices of the zones.
     pub zones: Interner<ZoneIx>,
-    /// What the catalogue says of each type; `None` where it does not list the type.
+    /// The catalogue's entry for each type, by type index. `None` if the catalogue does not
+    /// list the type.
     pub type_info: Vec<Option<TypeInfo>>,
 }
 
 impl Topology {
-    /// The zones of the settings; the types come with the catalogue.
+    /// Creates a topology with the zones of the settings. Types are added with the catalogue.
     pub fn new(zone_names: &[String]) -> Topology {
         let mut topology = Topology::default();
         for zone in zone_names {
@@ -58,7 +59,7 @@
         topology
     }
 
-    /// Takes the types of machines as the catalogue gives them.
+    /// Adds or replaces the machine types that the catalogue lists.
     pub fn set_catalogue(&mut self, catalogue: &Catalogue) {
         for machine_type in &catalogue.types {
             let ix = self.type_ix(&machine_type.name).usize();
@@ -82,7 +83,8 @@
         }
     }
 
-    /// The index of a type, which may not be in the catalogue yet.
+    /// Returns the index of a type by name, and assigns one if the name is new. The type need
+    /// not be in the catalogue yet.
     pub fn type_ix(&mut self, name: &str) -> TypeIx {
         let ix = self.types.intern(name);
         if self.type_info.len() <= ix.usize() {
@@ -91,17 +93,18 @@
         ix
     }
 
-    /// What the catalogue says of a type, if it lists it.
+    /// Returns the catalogue's entry for a type, if it lists the type.
     pub fn info(&self, type_ix: TypeIx) -> Option<&TypeInfo> {
         self.type_info[type_ix.usize()].as_ref()
     }
 
-    /// How long machines of a type boot.
+    /// Returns the boot time of a type in seconds.
     pub fn boot_s(&self, type_ix: TypeIx) -> f64 {
         self.info(type_ix).map_or(UNKNOWN_BOOT_S, |info| info.boot_s)
     }
 
-    /// The shortest boot of a machine that has room for a task of this size.
+    /// Returns the shortest boot time in seconds of the types on which a task with these
+    /// resources fits.
     pub fn shortest_boot_s(&self, needed: Resources) -> f64 {
         let infos = self.type_info.iter().flatten();
         infos
@@ -111,7 +114,7 @@
             .unwrap_or(UNKNOWN_BOOT_S)
     }
 
-    /// The offer of this type and zone by name, if both names are known.
+    /// Returns the offer with this type and zone, if both names are known.
     pub fn find_offer(&self, machine_type: &str, zone: &str, spot: bool) -> Option<Offer> {
         Some(Offer {
             type_ix: self.types.get(machine_type)?,
