--- a/src/fleet/demand.rs
+++ b/src/fleet/demand.rs
@@ -98,9 +98,9 @@
         self.samples.iter().any(|sample| sample.tasks > 0.0)
     }
 
-    /// Returns the number of tasks to have capacity for: the current demand, or the mean of
-    /// the samples plus `headroom` as a share of it if that is more. With fewer samples than
-    /// `min_samples`, the missing ones count as zero.
+    /// Returns the number of tasks to have capacity for: the current demand that justifies
+    /// buying machines, or the mean of the samples plus `headroom` as a share of it if that is
+    /// more. With fewer samples than `min_samples`, the missing ones count as zero.
     pub fn target(&self, headroom: f64, min_samples: f64) -> u32 {
         let count = (self.samples.len() as f64).max(min_samples);
         let mean = self.samples.iter().map(|sample| sample.tasks).sum::<f64>() / count;
--- a/src/fleet/forecast.rs
+++ b/src/fleet/forecast.rs
@@ -17,7 +17,7 @@
 /// The mean demand counts in full once the forecast period holds a sample for every interval
 /// of this length.
 const FULL_TRUST_SAMPLE_INTERVAL_S: f64 = 3.0;
-/// Lower bound of the divisor where tasks may have a duration of zero.
+/// Keeps the divisor above zero for tasks with an estimated duration of zero.
 const MIN_DIVISOR_S: f64 = 0.001;
 
 /// A class of jobs of one team: the key by which demand is summed up before the team's limit
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -51,7 +51,7 @@
         Failure::Reclaimed,
     ];
 
-    /// The text of this failure in log lines.
+    /// Returns the text that log lines give as the reason.
     fn reason(self) -> &'static str {
         match self {
             Failure::Unresponsive => "unresponsive",
@@ -69,7 +69,7 @@
         match self {
             Failure::Unresponsive => {
                 status.is_unresponsive
-                    && (!status.zone_is_unresponsive || status.would_be_replaced() && status.lease_has_expired())
+                    && (!status.zone_is_unresponsive || status.replacement_would_be_up() && status.lease_has_expired())
             }
             Failure::UnresponsiveAndUnlisted => {
                 machine.cloud_listing.is_missing() && machine.heard_at.is_some() && status.is_report_late()
@@ -110,7 +110,7 @@
     }
 
     /// Whether a replacement requested when the machine became unresponsive would be up by now.
-    fn would_be_replaced(&self) -> bool {
+    fn replacement_would_be_up(&self) -> bool {
         self.no_contact_for(self.unresponsive_after_ms + crate::millis(self.boot_s * REPLACEMENT_BOOT_FACTOR))
     }
 
@@ -192,7 +192,7 @@
         machine: &'a Machine,
     ) -> MachineStatus<'a> {
         let workers = context.workers;
-        let last_sign = machine.last_sign().unwrap_or(machine.requested_at);
+        let last_contact = machine.last_sign().unwrap_or(machine.requested_at);
         MachineStatus {
             now: context.now,
             machine,
@@ -203,7 +203,7 @@
             report_interval_ms: crate::millis(workers.longest_report_interval_s()),
             lease_expiry_ms: workers.lease_expiry_ms,
             boot_s: context.topology.boot_s(machine.type_ix),
-            no_contact_since: last_sign.max(workers.hearing_since),
+            no_contact_since: last_contact.max(workers.hearing_since),
         }
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -66,7 +66,7 @@
     pub(crate) unresponsive_zones: BTreeSet<ZoneIx>,
     machine_requests: Vec<PendingMachineRequest>,
     next_request: u64,
-    /// Offers of which the cloud lately had too few machines, and the time until which no
+    /// Offers of which the cloud recently had too few machines, and the time until which no
     /// more are requested.
     suspended: BTreeMap<Offer, Millis>,
     forecast: Forecast,
--- a/src/fleet/offers.rs
+++ b/src/fleet/offers.rs
@@ -74,7 +74,7 @@
     }
 
     /// Returns the offer with the lowest cost per task for the remaining tasks of a need, if
-    /// any machine fits them.
+    /// any available machine fits them.
     pub(crate) fn best(&self, need: &CapacityNeed, tasks_left: u32, scope: PurchaseScope) -> Option<OfferChoice> {
         let mut best: Option<(OfferRank, OfferChoice)> = None;
         for (type_ix, info) in self.context.topology.type_info.iter().enumerate() {
--- a/src/fleet/planned.rs
+++ b/src/fleet/planned.rs
@@ -82,8 +82,8 @@
             }
         }
         planned.sort_by(|a, b| {
-            let rest = (a.is_idle, !a.offer.spot).cmp(&(b.is_idle, !b.offer.spot));
-            a.free.cpus.total_cmp(&b.free.cpus).then(rest)
+            let idle_and_on_demand_last = (a.is_idle, !a.offer.spot).cmp(&(b.is_idle, !b.offer.spot));
+            a.free.cpus.total_cmp(&b.free.cpus).then(idle_and_on_demand_last)
         });
         planned
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -43,7 +43,7 @@
 const MAX_MILLIS: f64 = 1e15;
 
 /// Converts seconds, as used by the protocols, to milliseconds. Out-of-range values, which a
-/// peer may send, saturate at 0 or [`MAX_MILLIS`].
+/// malicious peer may send, saturate at zero or at an upper bound.
 pub fn millis(seconds: f64) -> Millis {
     (seconds.max(0.0) * MILLIS_PER_SECOND).min(MAX_MILLIS) as Millis
 }
