--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -54,7 +54,7 @@
     shard.decommission_failed(silent_ms + 3_001);
     assert_eq!(given_up(&shard), ["host-4"]);
     let north = shard.topology.zones.get("north").expect("known");
-    assert!(shard.fleet.silent_zones.contains(&north));
+    assert!(shard.fleet.unresponsive_zones.contains(&north));
     assert!(
         shard
             .workers
@@ -158,8 +158,8 @@
     shard.workers.machines.get_mut(ix).expect("there").heard_at = Some(14_000);
     assert_eq!(planned_machines(&mut shard, 14_000), 1);
     shard.workers.machines.get_mut(ix).expect("there").heard_at = None;
-    let silence_ms = shard.fleet_and_context(0).1.silence_ms();
-    let patience = shard.workers.lease_expiry_ms.max(25_000) + silence_ms;
+    let unresponsive_after_ms = shard.fleet_and_context(0).1.unresponsive_after_ms();
+    let patience = shard.workers.lease_expiry_ms.max(25_000) + unresponsive_after_ms;
     shard.decommission_failed(patience + 1);
     assert!(shard.workers.machines.get(ix).expect("there").decommissioned);
 }
@@ -176,7 +176,7 @@
     shard.workers.hearing_since = 0;
     shard
         .fleet
-        .silent_zones
+        .unresponsive_zones
         .insert(shard.topology.zones.get("north").expect("known"));
     assert!(!late(&mut shard), "it may be up and cut off");
 }
@@ -206,7 +206,7 @@
     let (fleet, context) = shard.fleet_and_context(13_000);
     let best = |overdue: BTreeSet<Offer>| {
         let mut search = OfferSearch::new(fleet, &context);
-        search.avoid(overdue);
+        search.set_overdue_offers(overdue);
         search.best(&needs[0], 1, PurchaseScope::SpotOrOnDemand)
     };
     let usual = best(BTreeSet::new()).expect("one").offer;
