--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -1,7 +1,7 @@
 //! One job: what its tasks ask for, which of them wait, are open or done, and how it
 //! stands against the time at which it is due.
 
-use super::{BySet, Chunk, TaskSet};
+use super::{Chunk, DependencyTrigger, TaskSet};
 use crate::Millis;
 use crate::ids::{AttemptIx, ClassIx, ImageIx, MachineIx, TeamIx};
 use crate::resources::Shape;
@@ -73,7 +73,7 @@
     /// How it ended, if it has.
     pub ended: Option<JobState>,
     /// When its tasks may start.
-    pub trigger: BySet,
+    pub trigger: DependencyTrigger,
     /// Its tasks by the keys that hold them.
     pub chunks: Vec<Chunk>,
     /// The tasks that are done.
--- a/src/pipeline/job_builder.rs
+++ b/src/pipeline/job_builder.rs
@@ -1,6 +1,6 @@
 //! Makes a [`Job`] of the value of its key.
 
-use super::{BySet, Chunk, Job, TaskSet};
+use super::{Chunk, DependencyTrigger, Job, TaskSet};
 use crate::Millis;
 use crate::ids::{ClassIx, ImageIx, Names, TeamIx};
 use crate::resources::{Resources, Shape};
@@ -68,7 +68,7 @@
             key_version: version,
             ended: key.ended,
             // Jobs have no upstream today: an empty set fires at once.
-            trigger: BySet::new([]),
+            trigger: DependencyTrigger::new([]),
             chunks: vec![Chunk::new(); chunks],
             done: TaskSet::new(spec.tasks),
             open: BTreeMap::new(),
--- a/src/pipeline/mod.rs
+++ b/src/pipeline/mod.rs
@@ -21,4 +21,4 @@
 pub use quota::TeamQuota;
 pub use task_counts::TaskCounts;
 pub use task_set::TaskSet;
-pub use trigger::BySet;
+pub use trigger::DependencyTrigger;
--- a/src/pipeline/trigger.rs
+++ b/src/pipeline/trigger.rs
@@ -4,14 +4,14 @@
 
 /// Fires once every job of a set is done; an empty set fires at once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct BySet {
+pub struct DependencyTrigger {
     missing: BTreeSet<String>,
 }
 
-impl BySet {
+impl DependencyTrigger {
     /// Waits for the jobs with these ids.
-    pub fn new(upstream: impl IntoIterator<Item = String>) -> BySet {
-        BySet {
+    pub fn new(upstream: impl IntoIterator<Item = String>) -> DependencyTrigger {
+        DependencyTrigger {
             missing: upstream.into_iter().collect(),
         }
     }
