--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -81,7 +81,7 @@
     /// Open attempts by task.
     pub open: BTreeMap<u32, AttemptIx>,
     /// Tasks from here on were never looked at since this leader began.
-    pub fresh: u32,
+    pub first_unvisited_task: u32,
     /// Tasks to run again, not before the given time.
     pub retry: VecDeque<(Millis, u32)>,
     /// Until when released tasks wait for a machine that holds the image. Once over,
@@ -184,13 +184,13 @@
         {
             return Some(task);
         }
-        while self.fresh < self.spec.tasks {
-            let task = self.fresh;
+        while self.first_unvisited_task < self.spec.tasks {
+            let task = self.first_unvisited_task;
             let retried = self.retry.iter().any(|&(_, other)| other == task);
             if !retried && !self.done.contains(task) && !self.open.contains_key(&task) {
                 return Some(task);
             }
-            self.fresh += 1;
+            self.first_unvisited_task += 1;
         }
         None
     }
@@ -201,7 +201,7 @@
             Some(&(_, front)) if front == task => {
                 self.retry.pop_front();
             }
-            _ => self.fresh = task + 1,
+            _ => self.first_unvisited_task = task + 1,
         }
     }
 
--- a/src/pipeline/job_builder.rs
+++ b/src/pipeline/job_builder.rs
@@ -72,7 +72,7 @@
             chunks: vec![Chunk::new(); chunks],
             done: TaskSet::new(spec.tasks),
             open: BTreeMap::new(),
-            fresh: 0,
+            first_unvisited_task: 0,
             retry: VecDeque::new(),
             waiting_until: None,
             short_since: None,
