--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -114,14 +114,14 @@
 fn note_outcome_in_job(now: Millis, job: &mut Job, attempt: &Attempt, outcome: Outcome) {
     match outcome {
         Outcome::Done => {
-            job.errors = 0;
+            job.consecutive_failures = 0;
             job.failed_on.clear();
             job.done.insert(attempt.task);
         }
         Outcome::Error => {
             avoid_machine(job, attempt);
             let pause = if job.is_likely_mistaken() {
-                error_pause(job.errors)
+                error_pause(job.consecutive_failures)
             } else {
                 0
             };
--- a/src/controller/shard/jobs.rs
+++ b/src/controller/shard/jobs.rs
@@ -67,7 +67,7 @@
         let removed = self.jobs.table.remove(id);
         self.pending_writes.forget_job(ix);
         // Its index may be given to another.
-        if removed.is_some_and(|job| job.errors > 0) {
+        if removed.is_some_and(|job| job.consecutive_failures > 0) {
             self.clear_machines_of(ix);
         }
     }
--- a/src/controller/shard/tests/attribution.rs
+++ b/src/controller/shard/tests/attribution.rs
@@ -101,7 +101,7 @@
     for _ in 0..8 {
         fail(&mut shard, 1_000, job, FIRST_MACHINE);
     }
-    assert_eq!(shard.jobs.table.get(job).expect("there").errors, 1);
+    assert_eq!(shard.jobs.table.get(job).expect("there").consecutive_failures, 1);
     assert!(shard.workers.machines.get(FIRST_MACHINE).expect("there").cordoned_until > 1_000);
 }
 
@@ -130,7 +130,7 @@
             shard.close(0, attempt, Outcome::Lost);
         }
     }
-    assert_eq!(shard.jobs.table.get(job).expect("there").errors, 0);
+    assert_eq!(shard.jobs.table.get(job).expect("there").consecutive_failures, 0);
     shard.plan_fleet(40_000);
     assert!(machine_of(&shard, machine).decommissioned);
 }
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -148,7 +148,7 @@
     shard.merge_report(10, &report(1, 2, 5, twice.clone()), ReportPath::Heartbeat);
     assert_eq!(open(&shard), 0);
     let job = shard.jobs.table.find("j-1").expect("known");
-    assert_eq!(shard.jobs.table.get(job).expect("there").errors, 1);
+    assert_eq!(shard.jobs.table.get(job).expect("there").consecutive_failures, 1);
     assert_eq!(machine_of(&shard, machine).unmatched_tasks, twice);
     assert!(matches!(shard.commands(20, machine)[..], [Command::Stop { .. }]));
 }
--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -33,8 +33,8 @@
 
 /// How long a job that keeps failing waits before its next try: it is never
 /// dropped, since only its user ends it, but it must not wear machines out.
-pub fn error_pause(errors: u32) -> Millis {
-    match errors.checked_sub(FAILURES_OF_MISTAKEN_JOB) {
+pub fn error_pause(consecutive_failures: u32) -> Millis {
+    match consecutive_failures.checked_sub(FAILURES_OF_MISTAKEN_JOB) {
         None => 0,
         Some(doublings) => (FIRST_BACKOFF_MS << doublings.min(MOST_DOUBLINGS)).min(LONGEST_BACKOFF_MS),
     }
@@ -90,7 +90,7 @@
     /// Since when no machine has room for its next task.
     pub short_since: Option<Millis>,
     /// Failures in a row.
-    pub errors: u32,
+    pub consecutive_failures: u32,
     /// The machines that they happened on.
     pub failed_on: Vec<MachineIx>,
 }
@@ -150,7 +150,7 @@
     /// Whether it failed on several machines and none of its tasks was ever done: most
     /// likely it was submitted with a mistake.
     pub fn is_likely_mistaken(&self) -> bool {
-        self.done.is_empty() && self.errors >= FAILURES_OF_MISTAKEN_JOB
+        self.done.is_empty() && self.consecutive_failures >= FAILURES_OF_MISTAKEN_JOB
     }
 
     /// Whether one of its tasks, stopped now and started again, would still end well
--- a/src/pipeline/job_builder.rs
+++ b/src/pipeline/job_builder.rs
@@ -76,7 +76,7 @@
             retry: VecDeque::new(),
             waiting_until: None,
             short_since: None,
-            errors: 0,
+            consecutive_failures: 0,
             failed_on: Vec::new(),
             spec,
         })
--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -90,7 +90,7 @@
             return;
         };
         if job.is_likely_mistaken() {
-            job.errors += 1;
+            job.consecutive_failures += 1;
             return;
         }
         let failed_here_before = machine.failures.note_job(attempt.job);
@@ -100,7 +100,7 @@
         if !job.done.is_empty() {
             machine.failures.proven += 1;
         } else if counts_against_job {
-            job.errors += 1;
+            job.consecutive_failures += 1;
         }
         if job.is_likely_mistaken() {
             self.clear_failures_of(attempt.job);
