--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -4,7 +4,7 @@
 use super::Shard;
 use crate::Millis;
 use crate::ids::{AttemptIx, ChunkId, Index, JobIx};
-use crate::pipeline::{Job, error_pause};
+use crate::pipeline::{Job, failure_backoff};
 use crate::resources::Resources;
 use crate::wire::JobState;
 use crate::workers::{Attempt, Outcome};
@@ -121,7 +121,7 @@
         Outcome::Error => {
             avoid_machine(job, attempt);
             let pause = if job.is_likely_mistaken() {
-                error_pause(job.consecutive_failures)
+                failure_backoff(job.consecutive_failures)
             } else {
                 0
             };
--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -33,7 +33,7 @@
 
 /// How long a job that keeps failing waits before its next try: it is never
 /// dropped, since only its user ends it, but it must not wear machines out.
-pub fn error_pause(consecutive_failures: u32) -> Millis {
+pub fn failure_backoff(consecutive_failures: u32) -> Millis {
     match consecutive_failures.checked_sub(FAILURES_OF_MISTAKEN_JOB) {
         None => 0,
         Some(doublings) => (FIRST_BACKOFF_MS << doublings.min(MOST_DOUBLINGS)).min(LONGEST_BACKOFF_MS),
--- a/src/pipeline/mod.rs
+++ b/src/pipeline/mod.rs
@@ -15,7 +15,7 @@
 mod trigger;
 
 pub use chunk::{Chunk, ChunkValue, OpenRecord, chunk_tasks};
-pub use job::{Job, error_pause};
+pub use job::{Job, failure_backoff};
 pub use job_builder::JobError;
 pub use jobs::Jobs;
 pub use quota::TeamQuota;
