--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -120,7 +120,7 @@
         }
         Outcome::Error => {
             avoid_machine(job, attempt);
-            let pause = if job.is_likely_mistaken() {
+            let pause = if job.is_likely_misconfigured() {
                 failure_backoff(job.consecutive_failures)
             } else {
                 0
--- a/src/controller/shard/tests/attribution.rs
+++ b/src/controller/shard/tests/attribution.rs
@@ -68,7 +68,7 @@
             .count();
         assert_eq!(sick, 0, "in round {round}");
     }
-    assert!(shard.jobs.table.iter().all(|(_, job)| job.is_likely_mistaken()));
+    assert!(shard.jobs.table.iter().all(|(_, job)| job.is_likely_misconfigured()));
     assert!(
         shard
             .workers
@@ -90,7 +90,7 @@
         fail(&mut shard, count as Millis * 10_000, job, FIRST_MACHINE);
     }
     assert!(shard.workers.machines.get(FIRST_MACHINE).expect("there").is_sick());
-    assert!(!shard.jobs.table.get(jobs[0]).expect("there").is_likely_mistaken());
+    assert!(!shard.jobs.table.get(jobs[0]).expect("there").is_likely_misconfigured());
 }
 
 /// Tasks that a sick machine fails together are no proof against their job.
@@ -146,7 +146,7 @@
         shard.jobs.table.get_mut(job).expect("there").failed_on.clear();
         shard.place(round * 70_000 + 65_000);
     }
-    assert!(shard.jobs.table.get(job).expect("there").is_likely_mistaken());
+    assert!(shard.jobs.table.get(job).expect("there").is_likely_misconfigured());
     assert!(machine_of(&shard, machine).open.len() <= 1);
     machine_of_mut(&mut shard, machine).heard_at = Some(500_000);
     shard.plan_fleet(500_000);
--- a/src/fleet/forecast.rs
+++ b/src/fleet/forecast.rs
@@ -123,7 +123,7 @@
 fn demand_of_job(job: &Job, boot_s: f64, wall_clock: Millis) -> TaskDemand {
     // A job that keeps failing must not get machines for all its tasks,
     // but it is tried again, so it needs one.
-    let waiting = if job.is_likely_mistaken() {
+    let waiting = if job.is_likely_misconfigured() {
         job.waiting_tasks().min(1)
     } else {
         job.waiting_tasks()
--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -149,7 +149,7 @@
 
     /// Whether it failed on several machines and none of its tasks was ever done: most
     /// likely it was submitted with a mistake.
-    pub fn is_likely_mistaken(&self) -> bool {
+    pub fn is_likely_misconfigured(&self) -> bool {
         self.done.is_empty() && self.consecutive_failures >= FAILURES_OF_MISTAKEN_JOB
     }
 
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -148,7 +148,7 @@
     fn next_task(&mut self, job_ix: JobIx, turn: Turn) -> Option<NextTask> {
         let now = self.context.now;
         let job = self.context.jobs.table.get_mut(job_ix)?;
-        if job.is_likely_mistaken() && !job.open.is_empty() {
+        if job.is_likely_misconfigured() && !job.open.is_empty() {
             // Tried again one task at a time, for as long as its user lets it.
             return None;
         }
--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -89,7 +89,7 @@
         else {
             return;
         };
-        if job.is_likely_mistaken() {
+        if job.is_likely_misconfigured() {
             job.consecutive_failures += 1;
             return;
         }
@@ -102,7 +102,7 @@
         } else if counts_against_job {
             job.consecutive_failures += 1;
         }
-        if job.is_likely_mistaken() {
+        if job.is_likely_misconfigured() {
             self.clear_failures_of(attempt.job);
         }
     }
