--- a/src/controller/shard/tests/scheduling.rs
+++ b/src/controller/shard/tests/scheduling.rs
@@ -92,9 +92,9 @@
     shard.job_changed(0, "j-2", &backfill("j-2", true), 2);
     let job = shard.jobs.table.find("j-2").expect("known");
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
-    assert!(shard.jobs.table.get(job).expect("there").goes_first_by_age(NOW));
+    assert!(shard.jobs.table.get(job).expect("there").has_age_priority(NOW));
     shard.open_attempt(job, 0, machine);
     let known = shard.jobs.table.get(job).expect("there");
-    assert!(!known.goes_first_by_age(NOW));
+    assert!(!known.has_age_priority(NOW));
     assert!(known.can_restart_in_time(NOW), "it is never due");
 }
--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -142,7 +142,7 @@
     /// Whether its age puts it before younger jobs. Best-effort work goes first by its
     /// age only until one of its tasks runs: long tasks of one such class would else
     /// take all machines at once.
-    pub fn goes_first_by_age(&self, wall_clock_ms: u64) -> bool {
+    pub fn has_age_priority(&self, wall_clock_ms: u64) -> bool {
         let eligible = !self.best_effort || self.open.is_empty();
         eligible && wall_clock_ms > self.accepted_ms + OLD_MS
     }
@@ -160,7 +160,7 @@
             return true;
         }
         let restart_ms = crate::millis(self.spec.estimate_s * RESTART_ESTIMATE_FACTOR) + RESTART_MS;
-        wall_clock_ms + restart_ms < self.due_ms && !self.goes_first_by_age(wall_clock_ms)
+        wall_clock_ms + restart_ms < self.due_ms && !self.has_age_priority(wall_clock_ms)
     }
 
     /// Stops avoiding the machines that it failed on once it has been short of room for
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -48,7 +48,7 @@
 
 impl Rank {
     fn new(job: &Job, guaranteed: bool, wall_clock: Millis) -> Rank {
-        let old = job.goes_first_by_age(wall_clock);
+        let old = job.has_age_priority(wall_clock);
         Rank {
             beyond_guarantee: !old && !guaranteed,
             priority: Reverse(if old { Priority::Production } else { job.priority() }),
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -48,7 +48,7 @@
 
 impl Urgency {
     fn new(job: &Job, turn: Turn, wall_clock: Millis) -> Urgency {
-        if turn == Turn::Starving || job.goes_first_by_age(wall_clock) {
+        if turn == Turn::Starving || job.has_age_priority(wall_clock) {
             Urgency::Pressing
         } else {
             Urgency::Normal
