--- a/src/controller/shard/tests/attempts.rs
+++ b/src/controller/shard/tests/attempts.rs
@@ -109,9 +109,9 @@
 /// in every round. The trace, a line each 20 s, with the machines' state beside it:
 ///
 /// ```text
-/// [100026] waiting 2 failed_on [1, 2, 0] short_since 2058934 now 2058980
-/// [120040] waiting 2 failed_on [1, 2, 0] short_since 2078642 now 2079002
-/// [140000] waiting 2 failed_on [1, 2, 0] short_since 2098700 now 2098970
+/// [100026] waiting 2 failed_on [1, 2, 0] shortage_since 2058934 now 2058980
+/// [120040] waiting 2 failed_on [1, 2, 0] shortage_since 2078642 now 2079002
+/// [140000] waiting 2 failed_on [1, 2, 0] shortage_since 2098700 now 2098970
 /// host-000003 heard 311 ms ago, usable, open 0, 12 tasks listed that are not open
 /// ```
 #[test]
--- a/src/controller/shard/tests/scheduling.rs
+++ b/src/controller/shard/tests/scheduling.rs
@@ -53,7 +53,7 @@
         attempt.running_since = Some(NOW - 300_000);
     }
     let urgent = shard.jobs.table.find("j-1").expect("known");
-    shard.jobs.table.get_mut(urgent).expect("there").short_since = Some(NOW - 1_000);
+    shard.jobs.table.get_mut(urgent).expect("there").shortage_since = Some(NOW - 1_000);
     shard
 }
 
--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -88,7 +88,7 @@
     /// the job's tasks don't wait again.
     pub waiting_until: Option<Millis>,
     /// Since when no machine has room for its next task.
-    pub short_since: Option<Millis>,
+    pub shortage_since: Option<Millis>,
     /// Failures in a row.
     pub consecutive_failures: u32,
     /// The machines that they happened on.
@@ -174,7 +174,7 @@
     /// Whether it has found no room for so long that what keeps it off machines with
     /// room has to end.
     pub fn is_short_for_long(&self, now: Millis) -> bool {
-        self.short_since.is_some_and(|since| now > since + LONG_SHORTAGE_MS)
+        self.shortage_since.is_some_and(|since| now > since + LONG_SHORTAGE_MS)
     }
 
     /// The next task to place. It stays the next one until it is placed.
--- a/src/pipeline/job_builder.rs
+++ b/src/pipeline/job_builder.rs
@@ -75,7 +75,7 @@
             first_unvisited_task: 0,
             retry: VecDeque::new(),
             waiting_until: None,
-            short_since: None,
+            shortage_since: None,
             consecutive_failures: 0,
             failed_on: Vec::new(),
             spec,
--- a/src/placement/opening.rs
+++ b/src/placement/opening.rs
@@ -43,7 +43,7 @@
     job.task_placed(task);
     job.last_start_ms = wall_clock;
     if job.waiting_tasks() == 0 {
-        job.short_since = None;
+        job.shortage_since = None;
         job.waiting_until = None;
     }
 }
--- a/src/placement/preemption/mod.rs
+++ b/src/placement/preemption/mod.rs
@@ -86,7 +86,7 @@
     let wait_ms = crate::millis(cluster.policy.preempt_wait_s);
     let now = cluster.now.monotonic;
     let jobs = &cluster.jobs.table;
-    let is_short = |job: &Job| job.short_since.is_some_and(|since| now >= since + wait_ms);
+    let is_short = |job: &Job| job.shortage_since.is_some_and(|since| now >= since + wait_ms);
     // Most rounds nobody is short of room, and the order costs a sort.
     if !jobs.iter().any(|(_, job)| is_short(job)) {
         return Vec::new();
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -186,9 +186,9 @@
         if let Some(job) = self.context.jobs.table.get_mut(job_ix) {
             match choice {
                 Choice::NoRoom => {
-                    job.short_since.get_or_insert(self.context.now.monotonic);
+                    job.shortage_since.get_or_insert(self.context.now.monotonic);
                 }
-                Choice::Wait { .. } => job.short_since = None,
+                Choice::Wait { .. } => job.shortage_since = None,
                 // The machine may still list an earlier attempt of the task: only what
                 // is placed there ends the shortage.
                 Choice::Start { .. } => {}
@@ -223,7 +223,7 @@
         let machine = self.view.machine_at(slot);
         let chunk = self.context.open_attempt(next.job, next.task, machine);
         if let Some(job) = self.context.jobs.table.get_mut(next.job) {
-            job.short_since = None;
+            job.shortage_since = None;
         }
         // Tasks of one chunk are mostly placed one after the other.
         self.chunks
