--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -166,14 +166,14 @@
     /// Stops avoiding the machines that it failed on once it has been short of room for
     /// long: they may be the only ones that fit it.
     pub fn stop_avoiding_if_short(&mut self, now: Millis) {
-        if self.is_short_for_long(now) {
+        if self.has_long_shortage(now) {
             self.failed_on.clear();
         }
     }
 
     /// Whether it has found no room for so long that what keeps it off machines with
     /// room has to end.
-    pub fn is_short_for_long(&self, now: Millis) -> bool {
+    pub fn has_long_shortage(&self, now: Millis) -> bool {
         self.shortage_since.is_some_and(|since| now > since + LONG_SHORTAGE_MS)
     }
 
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -243,7 +243,7 @@
         let now = self.context.now.monotonic;
         if let Some(job) = self.context.jobs.table.get_mut(next.job) {
             let asked = &mut self.context.workers.needs_higher_term;
-            if awaits_higher_term && job.is_short_for_long(now) && !*asked {
+            if awaits_higher_term && job.has_long_shortage(now) && !*asked {
                 // Nothing else would ever end that wait.
                 *asked = true;
                 tracing::info!(job = job.id, "a start that may still arrive keeps a job waiting");
