--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -165,7 +165,7 @@
 
     /// Stops avoiding the machines that it failed on once it has been short of room for
     /// long: they may be the only ones that fit it.
-    pub fn stop_avoiding_if_short(&mut self, now: Millis) {
+    pub fn clear_failed_on_after_long_shortage(&mut self, now: Millis) {
         if self.has_long_shortage(now) {
             self.failed_on.clear();
         }
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -248,7 +248,7 @@
                 *asked = true;
                 tracing::info!(job = job.id, "a start that may still arrive keeps a job waiting");
             }
-            job.stop_avoiding_if_short(now);
+            job.clear_failed_on_after_long_shortage(now);
             // Small tasks would fill for ever what it needs whole.
             if next.urgency == Urgency::Pressing {
                 self.view.reserve(&job.shape);
