--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -113,7 +113,7 @@
     }
 
     /// Whether the zones open to it depend on where its tasks are.
-    pub fn is_bound_to_zones(&self) -> bool {
+    pub fn zones_depend_on_open_tasks(&self) -> bool {
         self.spec.one_zone || self.spec.spread
     }
 
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -48,7 +48,7 @@
     let Some(best) = view.best(ranking, job.image) else {
         // Other jobs of this shape need not look, unless it was only this
         // one that could not use what there is.
-        if !job.is_bound_to_zones() && job.failed_on.is_empty() && ranking.is_complete() {
+        if !job.zones_depend_on_open_tasks() && job.failed_on.is_empty() && ranking.is_complete() {
             view.note_unplaceable(&job.shape);
         }
         return Choice::NoRoom;
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -64,7 +64,7 @@
     image: ImageIx,
     resources: Resources,
     urgency: Urgency,
-    is_bound_to_zones: bool,
+    zones_depend_on_open_tasks: bool,
 }
 
 impl NextTask {
@@ -72,7 +72,7 @@
     /// it does not where the open zones change with each task, or where machines were
     /// left out that only this task can't use.
     fn ranking_serves_following(&self, ranking: &Ranking) -> bool {
-        !self.is_bound_to_zones && ranking.is_complete()
+        !self.zones_depend_on_open_tasks && ranking.is_complete()
     }
 }
 
@@ -160,7 +160,7 @@
             image: job.image,
             resources: job.shape.resources,
             urgency: Urgency::new(job, turn, now.wall_clock),
-            is_bound_to_zones: job.is_bound_to_zones(),
+            zones_depend_on_open_tasks: job.zones_depend_on_open_tasks(),
         })
     }
 
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -6,7 +6,7 @@
 
 /// The zones in which one more task of the job may run now. `None`: any zone.
 pub fn zones_open_to(cluster: &Cluster<'_>, job: &Job) -> Option<Vec<ZoneIx>> {
-    if !job.is_bound_to_zones() {
+    if !job.zones_depend_on_open_tasks() {
         return None;
     }
     let tasks_in_zone = open_tasks_by_zone(cluster, job);
