--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -97,7 +97,7 @@
 
 impl Job {
     /// The place of the chunk that holds this task.
-    pub fn chunk_of(&self, task: u32, chunk_tasks: u32) -> usize {
+    pub fn chunk_index_of(&self, task: u32, chunk_tasks: u32) -> usize {
         (task / chunk_tasks) as usize
     }
 
