--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -57,7 +57,7 @@
             }
             return;
         }
-        let number = job.chunk_index_of(attempt.task, self.jobs.chunk_tasks);
+        let number = job.chunk_index_of(attempt.task, self.jobs.tasks_per_chunk);
         if let Some(chunk) = job.chunks.get_mut(number) {
             chunk.mark_changed();
         }
--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -79,7 +79,7 @@
         for record in &value.open {
             self.load_attempt(now, job_ix, record);
         }
-        let first_task = number * self.jobs.chunk_tasks;
+        let first_task = number * self.jobs.tasks_per_chunk;
         if let Some(job) = self.jobs.table.get_mut(job_ix)
             && let Some(chunk) = job.chunks.get_mut(number as usize)
         {
--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -54,7 +54,7 @@
                 job.chunks[id.number as usize].discard_changes();
                 continue;
             }
-            let tasks = job.tasks_of_chunk(id.number, context.jobs.chunk_tasks);
+            let tasks = job.tasks_of_chunk(id.number, context.jobs.tasks_per_chunk);
             let value = chunk_value(job, id.number, tasks.clone(), context.workers);
             let bytes = CHUNK_BYTES + value.done.len() + value.open.len() * OPEN_ATTEMPT_BYTES;
             // A single chunk always fits an otherwise empty transaction.
@@ -80,7 +80,7 @@
                 continue;
             };
             job.chunks[id.number as usize].write_committed(revision);
-            let tasks = job.tasks_of_chunk(id.number, context.jobs.chunk_tasks);
+            let tasks = job.tasks_of_chunk(id.number, context.jobs.tasks_per_chunk);
             attempts_committed(job, tasks, &mut context.workers.attempts, effects);
         }
     }
--- a/src/pipeline/chunk.rs
+++ b/src/pipeline/chunk.rs
@@ -13,7 +13,7 @@
 
 /// How many tasks a chunk holds, so that its value stays within the size limit of the
 /// service while all of them are open.
-pub fn chunk_tasks(value_kb: f64) -> u32 {
+pub fn tasks_per_chunk(value_kb: f64) -> u32 {
     let tasks = value_kb * 1024.0 * VALUE_SHARE / OPEN_RECORD_BYTES;
     (tasks as u32).clamp(FEWEST_TASKS, MOST_TASKS)
 }
--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -97,14 +97,14 @@
 
 impl Job {
     /// The place of the chunk that holds this task.
-    pub fn chunk_index_of(&self, task: u32, chunk_tasks: u32) -> usize {
-        (task / chunk_tasks) as usize
+    pub fn chunk_index_of(&self, task: u32, tasks_per_chunk: u32) -> usize {
+        (task / tasks_per_chunk) as usize
     }
 
     /// The tasks that a chunk holds.
-    pub fn tasks_of_chunk(&self, number: u32, chunk_tasks: u32) -> Range<u32> {
-        let first = number * chunk_tasks;
-        first..(first + chunk_tasks).min(self.spec.tasks)
+    pub fn tasks_of_chunk(&self, number: u32, tasks_per_chunk: u32) -> Range<u32> {
+        let first = number * tasks_per_chunk;
+        first..(first + tasks_per_chunk).min(self.spec.tasks)
     }
 
     /// Its priority as submitted.
--- a/src/pipeline/job_builder.rs
+++ b/src/pipeline/job_builder.rs
@@ -46,14 +46,14 @@
 
 impl JobBuilder<'_> {
     /// The job of a key that has this version, with none of its tasks open or done.
-    pub fn build(&mut self, key: &JobKey, version: u64, chunk_tasks: u32) -> Result<Job, JobError> {
+    pub fn build(&mut self, key: &JobKey, version: u64, tasks_per_chunk: u32) -> Result<Job, JobError> {
         let spec = key.spec.clone();
         let Some(team) = self.teams.get(&spec.team) else {
             return Err(JobError::UnknownTeam { team: spec.team });
         };
         let shape = self.shape(&spec);
         let schedule = self.schedule(&spec, key.accepted_ms);
-        let chunks = spec.tasks.div_ceil(chunk_tasks) as usize;
+        let chunks = spec.tasks.div_ceil(tasks_per_chunk) as usize;
         Ok(Job {
             id: spec.id.clone(),
             team,
--- a/src/pipeline/jobs.rs
+++ b/src/pipeline/jobs.rs
@@ -1,7 +1,7 @@
 //! The jobs of the shard, and what they are counted and judged by.
 
 use super::job_builder::{JobBuilder, JobError};
-use super::{Job, TeamQuota, chunk_tasks};
+use super::{Job, TeamQuota, tasks_per_chunk};
 use crate::Millis;
 use crate::ids::{ClassIx, ImageIx, Index, JobIx, Names, Table, TeamIx};
 use crate::resources::Resources;
@@ -25,7 +25,7 @@
     /// In which time their tasks should be started.
     start_within: BTreeMap<String, Millis>,
     /// Tasks that are kept under one key.
-    pub chunk_tasks: u32,
+    pub tasks_per_chunk: u32,
     /// Jobs whose keys were seen to be gone.
     deleted_jobs: Vec<String>,
 }
@@ -51,7 +51,7 @@
             team_quotas,
             due: shortest_objectives(&params.objectives, "finished"),
             start_within: shortest_objectives(&params.objectives, "wait"),
-            chunk_tasks: chunk_tasks(params.state.value_kb),
+            tasks_per_chunk: tasks_per_chunk(params.state.value_kb),
             deleted_jobs: Vec::new(),
         }
     }
@@ -71,7 +71,7 @@
             due: &self.due,
             start_within: &self.start_within,
         };
-        let job = builder.build(key, version, self.chunk_tasks)?;
+        let job = builder.build(key, version, self.tasks_per_chunk)?;
         Ok(self.table.insert(id, job))
     }
 
--- a/src/placement/opening.rs
+++ b/src/placement/opening.rs
@@ -13,7 +13,7 @@
     pub fn open_attempt(&mut self, job_ix: JobIx, task: u32, machine_ix: MachineIx) -> Option<ChunkId> {
         let job = self.jobs.table.get_mut(job_ix)?;
         let machine = self.workers.machines.get_mut(machine_ix)?;
-        let chunk_number = job.chunk_index_of(task, self.jobs.chunk_tasks);
+        let chunk_number = job.chunk_index_of(task, self.jobs.tasks_per_chunk);
         let number = take_attempt_number(job, chunk_number);
         let attempt = Attempt::new(job_ix, task, number, machine_ix, machine.agent_epoch);
         take_task(job, task, self.now.wall_clock);
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -81,7 +81,7 @@
             self.record = RecordState::Withdrawn;
             merged.chunks_to_rewrite.push(ChunkId {
                 job: self.job,
-                number: job.chunk_index_of(self.task, jobs.chunk_tasks) as u32,
+                number: job.chunk_index_of(self.task, jobs.tasks_per_chunk) as u32,
             });
         }
     }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -118,6 +118,6 @@
     if job.ended.is_some() {
         return true;
     }
-    let chunk = job.chunk_index_of(number, jobs.chunk_tasks);
+    let chunk = job.chunk_index_of(number, jobs.tasks_per_chunk);
     !job.is_complete() && job.chunks.get(chunk).is_none_or(|chunk| chunk.is_written())
 }
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -99,6 +99,6 @@
     for line in lines("stored/chunk_tasks.txt") {
         let (value_kb, tasks) = line.split_once(' ').expect("a size and a count");
         let value_kb: f64 = value_kb.parse().expect("a number");
-        assert_eq!(sumacbend::pipeline::chunk_tasks(value_kb).to_string(), tasks);
+        assert_eq!(sumacbend::pipeline::tasks_per_chunk(value_kb).to_string(), tasks);
     }
 }
