--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -196,7 +196,7 @@
     }
 
     /// The task that [`Job::next_task`] gave is placed.
-    pub fn task_placed(&mut self, task: u32) {
+    pub fn mark_task_placed(&mut self, task: u32) {
         match self.retry.front() {
             Some(&(_, front)) if front == task => {
                 self.retry.pop_front();
--- a/src/placement/opening.rs
+++ b/src/placement/opening.rs
@@ -40,7 +40,7 @@
 
 /// Takes a task from those that wait.
 fn take_task(job: &mut Job, task: u32, wall_clock: Millis) {
-    job.task_placed(task);
+    job.mark_task_placed(task);
     job.last_start_ms = wall_clock;
     if job.waiting_tasks() == 0 {
         job.shortage_since = None;
