--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -29,7 +29,7 @@
         let is_due = |id: &ChunkId| {
             let job = context.jobs.table.get(id.job);
             let chunk = job.and_then(|job| job.chunks.get(id.number as usize));
-            chunk.is_none_or(|chunk| now >= chunk.built_at() + REWRITE_MS)
+            chunk.is_none_or(|chunk| now >= chunk.last_write_built_at() + REWRITE_MS)
         };
         let due = self.deferrable_chunks.iter().copied().filter(is_due).collect();
         self.add_chunks(now, due, context, draft);
--- a/src/pipeline/chunk.rs
+++ b/src/pipeline/chunk.rs
@@ -86,7 +86,7 @@
     pub next: u64,
     state: WriteState,
     /// When its last write was built.
-    built_at: Millis,
+    last_write_built_at: Millis,
 }
 
 impl Chunk {
@@ -96,7 +96,7 @@
             version: 0,
             next: 1,
             state: WriteState::Written,
-            built_at: 0,
+            last_write_built_at: 0,
         }
     }
 
@@ -106,8 +106,8 @@
     }
 
     /// When its last write was built.
-    pub fn built_at(&self) -> Millis {
-        self.built_at
+    pub fn last_write_built_at(&self) -> Millis {
+        self.last_write_built_at
     }
 
     /// Something changed that its key does not say.
@@ -129,7 +129,7 @@
     /// Its value goes into the transaction that is built now.
     pub fn write_started(&mut self, now: Millis) {
         self.state = WriteState::InFlight;
-        self.built_at = now;
+        self.last_write_built_at = now;
     }
 
     /// The transaction with its value was applied.
