--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -7,7 +7,7 @@
 use crate::fleet::{GroupValue, InventoryMember, MachineRequestRecord};
 use crate::ids::{GroupIx, JobIx, MachineIx};
 use crate::persistence::{StoredValueError, read_value};
-use crate::pipeline::{ChunkValue, Job, OpenRecord};
+use crate::pipeline::{ChunkValue, Job, OpenAttemptRecord};
 use crate::resources::Offer;
 use crate::wire::Entry;
 use crate::workers::{Attempt, Machine, RecordState};
@@ -91,7 +91,7 @@
     }
 
     /// Takes over an attempt that the former leader left open.
-    fn load_attempt(&mut self, now: Millis, job_ix: JobIx, record: &OpenRecord) {
+    fn load_attempt(&mut self, now: Millis, job_ix: JobIx, record: &OpenAttemptRecord) {
         let Some(machine_ix) = self.workers.machines.find(&record.machine) else {
             // The inventory drops a machine only after a deletion that the cloud
             // confirmed, so nothing of it is left.
@@ -130,7 +130,7 @@
 }
 
 /// An attempt as far as its record tells.
-fn loaded_attempt(job_ix: JobIx, job: &Job, machine: MachineIx, record: &OpenRecord) -> Attempt {
+fn loaded_attempt(job_ix: JobIx, job: &Job, machine: MachineIx, record: &OpenAttemptRecord) -> Attempt {
     Attempt {
         record: RecordState::Written,
         // Nobody knows any more; what may have run long is not to be
--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -5,7 +5,7 @@
 use super::{Committed, PendingWrites, WriteContext};
 use crate::Millis;
 use crate::ids::ChunkId;
-use crate::pipeline::{ChunkValue, Job, OpenRecord};
+use crate::pipeline::{ChunkValue, Job, OpenAttemptRecord};
 use crate::wire::Change;
 use crate::workers::{Attempts, CommittedRecord, Workers};
 use serde_json::json;
@@ -102,7 +102,7 @@
 }
 
 fn chunk_value(job: &Job, number: u32, tasks: Range<u32>, workers: &Workers) -> ChunkValue {
-    let mut open: Vec<OpenRecord> = Vec::new();
+    let mut open: Vec<OpenAttemptRecord> = Vec::new();
     for (&task, &attempt) in job.open.range(tasks.clone()) {
         let Some(attempt) = workers.attempts.get(attempt) else {
             continue;
@@ -111,7 +111,7 @@
             continue;
         };
         if !attempt.record.is_withdrawn() {
-            open.push(OpenRecord {
+            open.push(OpenAttemptRecord {
                 task,
                 attempt: attempt.number,
                 machine: machine.name.clone(),
--- a/src/pipeline/chunk.rs
+++ b/src/pipeline/chunk.rs
@@ -18,13 +18,13 @@
     (tasks as u32).clamp(FEWEST_TASKS, MOST_TASKS)
 }
 
-/// The fields of an [`OpenRecord`] in the order in which they are stored.
+/// The fields of an [`OpenAttemptRecord`] in the order in which they are stored.
 type StoredRecord = (u32, u64, String, u64);
 
 /// An open attempt in a chunk's value; stored as an array.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "StoredRecord")]
-pub struct OpenRecord {
+pub struct OpenAttemptRecord {
     /// The number of the task within its job.
     pub task: u32,
     /// The attempt number.
@@ -35,9 +35,9 @@
     pub agent_epoch: u64,
 }
 
-impl From<StoredRecord> for OpenRecord {
-    fn from((task, attempt, machine, agent_epoch): StoredRecord) -> OpenRecord {
-        OpenRecord {
+impl From<StoredRecord> for OpenAttemptRecord {
+    fn from((task, attempt, machine, agent_epoch): StoredRecord) -> OpenAttemptRecord {
+        OpenAttemptRecord {
             task,
             attempt,
             machine,
@@ -47,7 +47,7 @@
 }
 
 /// By hand, since `serde(into)` would copy every name of a machine.
-impl Serialize for OpenRecord {
+impl Serialize for OpenAttemptRecord {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         (self.task, self.attempt, &self.machine, self.agent_epoch).serialize(serializer)
     }
@@ -61,7 +61,7 @@
     /// The tasks that are done, as [`TaskSet::text`](super::TaskSet::text) writes them.
     pub done: String,
     /// The attempts that are not proven over.
-    pub open: Vec<OpenRecord>,
+    pub open: Vec<OpenAttemptRecord>,
 }
 
 /// How the key of a chunk stands to what the leader knows.
--- a/src/pipeline/chunk/tests.rs
+++ b/src/pipeline/chunk/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn an_open_record_is_stored_as_an_array() {
-    let record = OpenRecord {
+    let record = OpenAttemptRecord {
         task: 7,
         attempt: 3,
         machine: "host-1".into(),
@@ -10,13 +10,13 @@
     };
     let text = serde_json::to_string(&record).expect("written");
     assert_eq!(text, r#"[7,3,"host-1",9]"#);
-    assert_eq!(serde_json::from_str::<OpenRecord>(&text).expect("read"), record);
+    assert_eq!(serde_json::from_str::<OpenAttemptRecord>(&text).expect("read"), record);
 }
 
 #[test]
 fn an_open_record_is_not_read_from_an_object() {
     let text = r#"{"task":7,"attempt":3,"machine":"host-1","agent_epoch":9}"#;
-    assert!(serde_json::from_str::<OpenRecord>(text).is_err());
+    assert!(serde_json::from_str::<OpenAttemptRecord>(text).is_err());
 }
 
 #[test]
--- a/src/pipeline/mod.rs
+++ b/src/pipeline/mod.rs
@@ -14,7 +14,7 @@
 mod task_set;
 mod trigger;
 
-pub use chunk::{Chunk, ChunkValue, OpenRecord, tasks_per_chunk};
+pub use chunk::{Chunk, ChunkValue, OpenAttemptRecord, tasks_per_chunk};
 pub use job::{Job, failure_backoff};
 pub use job_builder::JobError;
 pub use jobs::Jobs;
