--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -121,7 +121,7 @@
     }
     ChunkValue {
         next: job.chunks[number as usize].next,
-        done: job.done.text(tasks),
+        done: job.done.format_ranges(tasks),
         open,
     }
 }
--- a/src/pipeline/chunk.rs
+++ b/src/pipeline/chunk.rs
@@ -58,7 +58,7 @@
 pub struct ChunkValue {
     /// The next attempt number. Numbers rise within a chunk and are never reused.
     pub next: u64,
-    /// The tasks that are done, as [`TaskSet::text`](super::TaskSet::text) writes them.
+    /// The tasks that are done, as [`TaskSet::format_ranges`](super::TaskSet::format_ranges) writes them.
     pub done: String,
     /// The attempts that are not proven over.
     pub open: Vec<OpenAttemptRecord>,
--- a/src/pipeline/task_set.rs
+++ b/src/pipeline/task_set.rs
@@ -46,7 +46,7 @@
     }
 
     /// The part of the set within `range`, as text relative to its start.
-    pub fn text(&self, range: Range<u32>) -> String {
+    pub fn format_ranges(&self, range: Range<u32>) -> String {
         let base = range.start;
         let mut parts = Vec::new();
         let mut tasks = range.filter(|&task| self.contains(task)).peekable();
@@ -61,7 +61,7 @@
         parts.join(",")
     }
 
-    /// Adds what [`TaskSet::text`] wrote; parts of any other form add nothing.
+    /// Adds what [`TaskSet::format_ranges`] wrote; parts of any other form add nothing.
     pub fn add_text(&mut self, base: u32, text: &str) {
         for (first, last) in text.split(',').filter_map(parse_range) {
             for task in first..=last.min(self.limit) {
