--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -85,7 +85,7 @@
         {
             chunk.version = entry.version;
             chunk.next = value.next;
-            job.done.add_text(first_task, &value.done);
+            job.done.insert_ranges(first_task, &value.done);
         }
         Ok(())
     }
--- a/src/pipeline/task_set.rs
+++ b/src/pipeline/task_set.rs
@@ -62,7 +62,7 @@
     }
 
     /// Adds what [`TaskSet::format_ranges`] wrote; parts of any other form add nothing.
-    pub fn add_text(&mut self, base: u32, text: &str) {
+    pub fn insert_ranges(&mut self, base: u32, text: &str) {
         for (first, last) in text.split(',').filter_map(parse_range) {
             for task in first..=last.min(self.limit) {
                 self.insert(base.saturating_add(task));
--- a/src/pipeline/task_set/tests.rs
+++ b/src/pipeline/task_set/tests.rs
@@ -10,7 +10,7 @@
         }
         let mut back = TaskSet::new(limit);
         for start in (0..limit).step_by(chunk as usize) {
-            back.add_text(start, &set.format_ranges(start..(start + chunk).min(limit)));
+            back.insert_ranges(start, &set.format_ranges(start..(start + chunk).min(limit)));
         }
         prop_assert_eq!(set, back);
     }
