--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -84,7 +84,7 @@
             && let Some(chunk) = job.chunks.get_mut(number as usize)
         {
             chunk.version = entry.version;
-            chunk.next = value.next;
+            chunk.next_attempt = value.next_attempt;
             job.done.insert_ranges(first_task, &value.done);
         }
         Ok(())
--- a/src/controller/shard/tests/loading.rs
+++ b/src/controller/shard/tests/loading.rs
@@ -26,7 +26,7 @@
     let chunk = json!({"next": 9, "done": "0-1", "open": [[2, 7, "host-1", 3], [3, 8, "host-2", 1]]});
     shard.load_chunk(10, "j-1", 0, &entry("kept/pool/firing/j-1/0", chunk));
     let job = shard.jobs.find("j-1").expect("known");
-    assert_eq!((job.chunks[0].version, job.chunks[0].next), (8, 9));
+    assert_eq!((job.chunks[0].version, job.chunks[0].next_attempt), (8, 9));
     assert_eq!((job.done.len(), job.open.len()), (2, 1));
     let (_, attempt) = shard.workers.attempts.iter().next().expect("open");
     assert_eq!((attempt.task, attempt.number, attempt.agent_epoch), (2, 7, 3));
--- a/src/persistence/stored_value/tests.rs
+++ b/src/persistence/stored_value/tests.rs
@@ -14,7 +14,7 @@
 fn a_value_is_read_in_the_form_of_its_kind() {
     let entry = entry(json!({"next": 4, "done": "0-2", "open": [[3, 1, "host-1", 9]]}));
     let value: ChunkValue = read_value(&entry).expect("a chunk");
-    assert_eq!((value.next, value.done.as_str()), (4, "0-2"));
+    assert_eq!((value.next_attempt, value.done.as_str()), (4, "0-2"));
     assert_eq!(value.open[0].machine, "host-1");
 }
 
--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -120,7 +120,7 @@
         }
     }
     ChunkValue {
-        next: job.chunks[number as usize].next,
+        next_attempt: job.chunks[number as usize].next_attempt,
         done: job.done.format_ranges(tasks),
         open,
     }
--- a/src/pipeline/chunk.rs
+++ b/src/pipeline/chunk.rs
@@ -57,7 +57,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChunkValue {
     /// The next attempt number. Numbers rise within a chunk and are never reused.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_attempt: u64,
     /// The tasks that are done, as [`TaskSet::format_ranges`](super::TaskSet::format_ranges) writes them.
     pub done: String,
     /// The attempts that are not proven over.
@@ -83,7 +84,7 @@
     /// The version of its key; 0 while there is none.
     pub version: u64,
     /// The next attempt number.
-    pub next: u64,
+    pub next_attempt: u64,
     state: WriteState,
     /// When its last write was built.
     last_write_built_at: Millis,
@@ -94,7 +95,7 @@
     pub fn new() -> Chunk {
         Chunk {
             version: 0,
-            next: 1,
+            next_attempt: 1,
             state: WriteState::Written,
             last_write_built_at: 0,
         }
--- a/src/placement/opening.rs
+++ b/src/placement/opening.rs
@@ -32,8 +32,8 @@
 /// The number of the next attempt in a chunk, which has to be written with it.
 fn take_attempt_number(job: &mut Job, chunk_number: usize) -> u64 {
     let chunk = &mut job.chunks[chunk_number];
-    let number = chunk.next;
-    chunk.next += 1;
+    let number = chunk.next_attempt;
+    chunk.next_attempt += 1;
     chunk.mark_changed();
     number
 }
