--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,9 +1,11 @@
-//! Scheduling: which released task starts where, and which running tasks give way.
+//! Scheduling: on which machine each waiting task starts, and which running tasks are
+//! preempted.
 //!
-//! A round of placement serves the jobs in order of their teams' guarantees, their
-//! priorities and their deadlines, within the quotas of the teams. Where a task goes is
-//! decided by Pheromone's Algorithm 1, toward the machines that have its image cached. Preemption
-//! makes room for jobs that find none.
+//! A round of placement serves the jobs in the order of their teams' guarantees, their
+//! priorities and their deadlines, within the quotas of the teams. The machine for a task is
+//! chosen by Pheromone's Algorithm 1, which prefers machines that have the task's image
+//! cached. Preemption stops running tasks to make room for jobs of higher priority that
+//! find none.
 
 mod choice;
 mod context;
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -1,4 +1,4 @@
-//! In which order jobs are placed.
+//! The order in which jobs are placed.
 
 use crate::Millis;
 use crate::ids::{Index, JobIx};
@@ -8,10 +8,11 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// Quotas are sums of floating-point numbers.
+/// Tolerance for comparing sums of floating-point resource amounts with a guarantee.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Live jobs none of whose tasks was placed for long, the oldest first.
+/// Returns the active jobs with waiting tasks of which none was placed for a long time, the
+/// oldest job first.
 pub fn starving_jobs(jobs: &Jobs, wall_clock: Millis) -> Vec<JobIx> {
     let starving = jobs.table.iter().filter(|(_, job)| job.is_starving(wall_clock));
     let mut by_arrival: Vec<_> = starving.map(|(ix, job)| (job.accepted_ms, ix)).collect();
@@ -19,47 +20,54 @@
     by_arrival.into_iter().map(|(_, ix)| ix).collect()
 }
 
-/// Live jobs with tasks to place, in the order in which they are served.
+/// Returns the active jobs with tasks to place, in the order in which they are served.
 pub fn placement_order(jobs: &Jobs, wall_clock: Millis) -> Vec<JobIx> {
     let guaranteed = guaranteed_jobs(jobs);
     let to_place = jobs
         .table
         .iter()
         .filter(|(_, job)| job.is_active() && job.waiting_tasks() > 0);
-    let mut ranked: Vec<(Rank, JobIx)> = to_place
-        .map(|(ix, job)| (Rank::new(job, guaranteed.contains(&ix), wall_clock), ix))
+    let mut keyed: Vec<(SortKey, JobIx)> = to_place
+        .map(|(ix, job)| (SortKey::new(job, guaranteed.contains(&ix), wall_clock), ix))
         .collect();
-    ranked.sort_unstable();
-    ranked.into_iter().map(|(_, ix)| ix).collect()
+    keyed.sort_unstable();
+    keyed.into_iter().map(|(_, ix)| ix).collect()
 }
 
-/// What the order of placement goes by, the first field first; the lowest rank is
-/// served first. Old jobs rank above all.
+/// The sort key of a job in the order of placement. Fields are compared in the order of
+/// their declaration, and the smallest key is served first. Jobs with age priority precede
+/// all others.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Rank {
-    /// Beyond the guarantee of its team.
+struct SortKey {
+    /// Whether the job exceeds the guarantee of its team.
     beyond_guarantee: bool,
+    /// The highest priority comes first.
     priority: Reverse<Priority>,
-    /// It can't meet its deadline any more, and lets the others pass.
+    /// Whether the job can't meet its deadline anymore. Such jobs come after the others.
     missed_deadline: bool,
-    /// The latest start that meets its objective.
+    /// The latest start that meets the job's objective or deadline, in milliseconds since
+    /// the Unix epoch.
     start_by_ms: Millis,
 }
 
-impl Rank {
-    fn new(job: &Job, guaranteed: bool, wall_clock: Millis) -> Rank {
-        let old = job.has_age_priority(wall_clock);
-        Rank {
-            beyond_guarantee: !old && !guaranteed,
-            priority: Reverse(if old { Priority::Production } else { job.priority() }),
-            missed_deadline: !old && job.spec.deadline_s.is_some() && wall_clock > job.start_by_ms,
+impl SortKey {
+    fn new(job: &Job, guaranteed: bool, wall_clock: Millis) -> SortKey {
+        let age_priority = job.has_age_priority(wall_clock);
+        SortKey {
+            beyond_guarantee: !age_priority && !guaranteed,
+            priority: Reverse(if age_priority {
+                Priority::Production
+            } else {
+                job.priority()
+            }),
+            missed_deadline: !age_priority && job.spec.deadline_s.is_some() && wall_clock > job.start_by_ms,
             start_by_ms: job.start_by_ms,
         }
     }
 }
 
-/// Jobs that fit into their team's guarantee along with the team's earlier
-/// unfinished jobs: these need not wait for other teams.
+/// Returns the jobs that fit into their team's guarantee together with the team's earlier
+/// active jobs. They are served before jobs that exceed the guarantee of their team.
 fn guaranteed_jobs(jobs: &Jobs) -> BTreeSet<JobIx> {
     let live = jobs.table.iter().filter(|(_, job)| job.is_active());
     let mut by_arrival: Vec<(Millis, JobIx)> = live.map(|(ix, job)| (job.accepted_ms, ix)).collect();
@@ -80,7 +88,8 @@
     guaranteed
 }
 
-/// What all unfinished tasks of a job ask for together, as quotas count it.
+/// The total resources that all unfinished tasks of a job ask for. Memory is left out, since
+/// quotas don't limit it.
 fn unfinished_demand(job: &Job) -> Resources {
     let tasks = f64::from(job.spec.tasks - job.done.len());
     Resources::without_memory(job.shape.resources.cpus * tasks, job.shape.resources.gpus * tasks)
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -1,4 +1,4 @@
-//! One round of placement: plans attempts for released tasks, job by job.
+//! One round of placement: plans attempts for tasks that may start, job by job.
 
 use super::PlacementContext;
 use super::choice::{Choice, choose};
@@ -10,53 +10,54 @@
 use crate::resources::Resources;
 use crate::workers::split_task;
 
-/// Attempts planned in one round, so that a round stays short.
+/// The most attempts that one round plans, which bounds the duration of a round.
 const MAX_STARTS: usize = 200;
 
-/// Plans attempts for released tasks. Returns the chunks that have to be written
-/// before these start.
+/// Plans attempts for tasks that may start. Returns the chunks that have to be written
+/// to the store before these attempts start.
 pub fn place(context: PlacementContext<'_>) -> Vec<ChunkId> {
     Round::new(context).run()
 }
 
-/// Why it is a job's turn.
+/// The pass of a round in which a job is placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Turn {
-    /// It would else starve, and gets one task placed before all others.
+enum Pass {
+    /// Places one task of each starving job, before all other jobs.
     Starving,
-    /// It comes next in the order of placement.
+    /// Places the jobs in the order of placement.
     InOrder,
 }
 
-impl Turn {
-    /// How many tasks may be placed in this turn.
+impl Pass {
+    /// The most tasks of one job that may be placed in this pass.
     fn max_tasks(self) -> usize {
         match self {
-            Turn::Starving => 1,
-            Turn::InOrder => usize::MAX,
+            Pass::Starving => 1,
+            Pass::InOrder => usize::MAX,
         }
     }
 }
 
-/// Whether room is kept for a job that finds none.
+/// Whether room is reserved for a job that finds none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Urgency {
+    /// Nothing is reserved: other jobs may take the room that becomes free.
     Normal,
-    /// It waits for so long that room or quota is reserved for it.
-    Pressing,
+    /// The job has waited for so long that a machine or its team's quota is reserved for it.
+    Urgent,
 }
 
 impl Urgency {
-    fn new(job: &Job, turn: Turn, wall_clock: Millis) -> Urgency {
-        if turn == Turn::Starving || job.has_age_priority(wall_clock) {
-            Urgency::Pressing
+    fn new(job: &Job, pass: Pass, wall_clock: Millis) -> Urgency {
+        if pass == Pass::Starving || job.has_age_priority(wall_clock) {
+            Urgency::Urgent
         } else {
             Urgency::Normal
         }
     }
 }
 
-/// The next task of a job, and what its placement goes by.
+/// The next task of a job, with the properties of the job that its placement depends on.
 struct NextTask {
     job: JobIx,
     task: u32,
@@ -68,10 +69,10 @@
 }
 
 impl NextTask {
-    /// Whether the ranking that this task was placed by serves the tasks that follow:
-    /// it does not where the open zones change with each task, or where machines were
-    /// left out that only this task can't use.
-    fn ranking_serves_following(&self, ranking: &Ranking) -> bool {
+    /// Whether the ranking by which this task was placed can be reused for the job's next
+    /// tasks. It can't if the allowed zones change with each task, or if it leaves out
+    /// machines that only this task can't use.
+    fn can_reuse_ranking(&self, ranking: &Ranking) -> bool {
         !self.zones_depend_on_open_tasks && ranking.is_complete()
     }
 }
@@ -80,12 +81,12 @@
 struct Round<'a> {
     context: PlacementContext<'a>,
     view: MachineView,
-    /// For each team, whether the rest of its quota is reserved for a job that would
-    /// else never get its turn.
+    /// For each team, whether the rest of its quota is reserved for an urgent job that
+    /// would otherwise never fit into it.
     team_reserved: Vec<bool>,
-    /// Attempts that may still be planned.
+    /// The number of attempts that may still be planned.
     starts_left: usize,
-    /// Chunks with new attempts.
+    /// The chunks with new attempts, which have to be written.
     chunks: Vec<ChunkId>,
 }
 
@@ -103,24 +104,25 @@
     fn run(mut self) -> Vec<ChunkId> {
         let wall_clock = self.context.now.wall_clock;
         for job_ix in starving_jobs(self.context.jobs, wall_clock) {
-            self.place_job(job_ix, Turn::Starving);
+            self.place_job(job_ix, Pass::Starving);
         }
         for job_ix in placement_order(self.context.jobs, wall_clock) {
             if self.starts_left == 0 {
                 break;
             }
-            self.place_job(job_ix, Turn::InOrder);
+            self.place_job(job_ix, Pass::InOrder);
         }
         self.chunks
     }
 
-    /// Places tasks of one job until its turn is over or it finds no room.
-    fn place_job(&mut self, job_ix: JobIx, turn: Turn) {
+    /// Places tasks of one job until the limit of the pass is reached, no task is left, or
+    /// the next task can't be placed now.
+    fn place_job(&mut self, job_ix: JobIx, pass: Pass) {
         let mut ranking = None;
         let mut placed = 0;
-        let mut awaits_higher_term = false;
-        while placed < turn.max_tasks() && self.starts_left > 0 {
-            let Some(next) = self.next_task(job_ix, turn) else {
+        let mut blocked_until_higher_term = false;
+        while placed < pass.max_tasks() && self.starts_left > 0 {
+            let Some(next) = self.next_task(job_ix, pass) else {
                 return;
             };
             if !self.team_allows(&next) {
@@ -128,7 +130,7 @@
             }
             match self.choose(job_ix, &mut ranking) {
                 Choice::Start { slot } if self.lists_earlier_attempt(self.view.machine_at(slot), &next) => {
-                    awaits_higher_term |= self.is_start_in_doubt(self.view.machine_at(slot));
+                    blocked_until_higher_term |= self.has_unconfirmed_start(self.view.machine_at(slot));
                     if let Some(ranking) = &mut ranking {
                         ranking.skip_best();
                     }
@@ -136,20 +138,20 @@
                 Choice::Start { slot } => {
                     self.start(&next, slot);
                     placed += 1;
-                    ranking = ranking.filter(|ranking| next.ranking_serves_following(ranking));
+                    ranking = ranking.filter(|ranking| next.can_reuse_ranking(ranking));
                 }
                 Choice::Wait { until } => return self.wait(job_ix, until),
-                Choice::NoRoom => return self.found_no_room(&next, awaits_higher_term),
+                Choice::NoRoom => return self.found_no_room(&next, blocked_until_higher_term),
             }
         }
     }
 
-    /// The next task that the job may have placed.
-    fn next_task(&mut self, job_ix: JobIx, turn: Turn) -> Option<NextTask> {
+    /// Returns the next task of the job that may be placed now.
+    fn next_task(&mut self, job_ix: JobIx, pass: Pass) -> Option<NextTask> {
         let now = self.context.now;
         let job = self.context.jobs.table.get_mut(job_ix)?;
         if job.is_likely_misconfigured() && !job.open.is_empty() {
-            // Tried again one task at a time, for as long as its user lets it.
+            // Such a job runs one task at a time until a task succeeds or its user cancels it.
             return None;
         }
         let task = job.next_task(now.monotonic)?;
@@ -159,24 +161,25 @@
             team: job.team,
             image: job.image,
             resources: job.shape.resources,
-            urgency: Urgency::new(job, turn, now.wall_clock),
+            urgency: Urgency::new(job, pass, now.wall_clock),
             zones_depend_on_open_tasks: job.zones_depend_on_open_tasks(),
         })
     }
 
-    /// Whether the task's team may use as much more. What is left of its quota is
-    /// reserved for a pressing job: small tasks would for ever use it up, and never
-    /// leave it enough.
+    /// Whether the task fits into the rest of its team's quota. If the task of an urgent
+    /// job does not fit, the rest of the quota is reserved: otherwise small tasks of other
+    /// jobs could use it up forever, and the urgent task would never fit.
     fn team_allows(&mut self, next: &NextTask) -> bool {
         let reserved = &mut self.team_reserved[next.team.usize()];
         if !*reserved && self.context.jobs.team_quotas[next.team.usize()].allows(next.resources) {
             return true;
         }
-        *reserved |= next.urgency == Urgency::Pressing;
+        *reserved |= next.urgency == Urgency::Urgent;
         false
     }
 
-    /// Decides where the job's next task goes, and notes since when there is no room.
+    /// Decides where the job's next task goes, and records when a shortage of room began
+    /// or that it ended.
     fn choose(&mut self, job_ix: JobIx, ranking: &mut Option<Ranking>) -> Choice {
         let cluster = self.context.cluster();
         let Some(job) = cluster.jobs.table.get(job_ix) else {
@@ -189,16 +192,17 @@
                     job.shortage_since.get_or_insert(self.context.now.monotonic);
                 }
                 Choice::Wait { .. } => job.shortage_since = None,
-                // The machine may still list an earlier attempt of the task: only what
-                // is placed there ends the shortage.
+                // The machine may still list an earlier attempt of the task, so the
+                // shortage ends only when the task is actually placed.
                 Choice::Start { .. } => {}
             }
         }
         choice
     }
 
-    /// Whether a machine still lists an earlier attempt of this task. A start of that
-    /// one may be on its way there, and does nothing only while it is listed.
+    /// Whether a machine's report still lists an earlier attempt of this task. A start
+    /// command for that attempt may still arrive, and has no effect only while the attempt
+    /// is listed.
     fn lists_earlier_attempt(&self, machine: MachineIx, next: &NextTask) -> bool {
         let machine = self.context.workers.machines.get(machine);
         let job = self.context.jobs.table.get(next.job);
@@ -211,13 +215,15 @@
             .any(|unmatched| split_task(&unmatched.task) == Some((job.id.as_str(), next.task)))
     }
 
-    /// Whether the machine keeps what it lists until a higher term: it is not told to
-    /// forget while a start of this term may still arrive there.
-    fn is_start_in_doubt(&self, machine: MachineIx) -> bool {
+    /// Whether a start command of this term went unanswered and may still reach the
+    /// machine. The machine is then not told to forget ended attempts, so it keeps listing
+    /// them until the term is raised.
+    fn has_unconfirmed_start(&self, machine: MachineIx) -> bool {
         let machine = self.context.workers.machines.get(machine);
         machine.is_some_and(|machine| machine.has_unconfirmed_start_of(self.context.term))
     }
 
+    /// Opens an attempt of the task on the machine of this slot.
     fn start(&mut self, next: &NextTask, slot: usize) {
         self.view.assign(slot, next.resources, next.image);
         let machine = self.view.machine_at(slot);
@@ -225,32 +231,40 @@
         if let Some(job) = self.context.jobs.table.get_mut(next.job) {
             job.shortage_since = None;
         }
-        // Tasks of one chunk are mostly placed one after the other.
+        // Tasks of one chunk are mostly placed consecutively, so comparing with the last
+        // chunk avoids most duplicates.
         self.chunks
             .extend(chunk.filter(|chunk| self.chunks.last() != Some(chunk)));
         self.starts_left -= 1;
     }
 
+    /// Lets the job's tasks wait for a machine that has their image cached.
     fn wait(&mut self, job_ix: JobIx, until: Millis) {
         if let Some(job) = self.context.jobs.table.get_mut(job_ix) {
             job.waiting_until = Some(until);
         }
     }
 
-    /// `awaits_higher_term`: there is room on a machine that lists an earlier attempt of
-    /// the task for as long as the term lasts.
-    fn found_no_room(&mut self, next: &NextTask, awaits_higher_term: bool) {
+    /// Handles a task for which no machine has room.
+    ///
+    /// `blocked_until_higher_term`: a machine has room, but lists an earlier attempt of the
+    /// task until the term is raised.
+    fn found_no_room(&mut self, next: &NextTask, blocked_until_higher_term: bool) {
         let now = self.context.now.monotonic;
         if let Some(job) = self.context.jobs.table.get_mut(next.job) {
-            let asked = &mut self.context.workers.needs_higher_term;
-            if awaits_higher_term && job.has_long_shortage(now) && !*asked {
-                // Nothing else would ever end that wait.
-                *asked = true;
-                tracing::info!(job = job.id, "a start that may still arrive keeps a job waiting");
+            let higher_term_requested = &mut self.context.workers.needs_higher_term;
+            if blocked_until_higher_term && job.has_long_shortage(now) && !*higher_term_requested {
+                // Only a higher term ends this wait.
+                *higher_term_requested = true;
+                tracing::info!(
+                    job = job.id,
+                    "requesting a higher term: a job waits because an unconfirmed start may still arrive"
+                );
             }
             job.clear_failed_on_after_long_shortage(now);
-            // Small tasks would fill for ever what it needs whole.
-            if next.urgency == Urgency::Pressing {
+            // Without a reservation, small tasks could keep filling the machine that this
+            // task needs.
+            if next.urgency == Urgency::Urgent {
                 self.view.reserve(&job.shape);
             }
         }
