--- a/src/placement/context.rs
+++ b/src/placement/context.rs
@@ -1,4 +1,4 @@
-//! What a round of placement reads and changes of the other slices.
+//! The parts of the controller's state that scheduling reads and changes.
 
 use crate::Now;
 use crate::pipeline::Jobs;
@@ -6,10 +6,10 @@
 use crate::topology::Topology;
 use crate::workers::Workers;
 
-/// The cluster as scheduling decisions read it.
+/// A read-only view of the cluster for scheduling decisions.
 #[derive(Clone, Copy, Debug)]
 pub struct Cluster<'a> {
-    /// When the decision is made.
+    /// The time at which the decision is made.
     pub now: Now,
     /// The jobs and the quotas of their teams.
     pub jobs: &'a Jobs,
@@ -21,12 +21,13 @@
     pub policy: &'a Policy,
 }
 
-/// The cluster as a round of placement changes it: jobs and machines take attempts.
+/// A mutable view of the cluster for a round of placement, which adds attempts to jobs and
+/// machines.
 #[derive(Debug)]
 pub struct PlacementContext<'a> {
-    /// When the round runs.
+    /// The time at which the round runs.
     pub now: Now,
-    /// The term in which it runs.
+    /// The leader's term in which the round runs.
     pub term: u64,
     /// The jobs and the quotas of their teams.
     pub jobs: &'a mut Jobs,
@@ -39,7 +40,7 @@
 }
 
 impl PlacementContext<'_> {
-    /// The same cluster, to be read only.
+    /// Returns a read-only view of the same cluster.
     pub fn cluster(&self) -> Cluster<'_> {
         Cluster {
             now: self.now,
--- a/src/placement/image_state.rs
+++ b/src/placement/image_state.rs
@@ -1,19 +1,20 @@
-//! Whether a machine has an image.
+//! The state of an image on a machine.
 
 use crate::ids::ImageIx;
 use crate::workers::Machine;
 
-/// Whether a machine has an image. The better state is the greater one.
+/// The state of an image on a machine. The state that is better for placement is the greater
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ImageState {
-    /// A task that needs the image has to fetch it.
+    /// The machine would have to fetch the image before it could run a task that needs it.
     Missing,
-    /// The image is in the machine's cache, or is being fetched.
+    /// The image is in the machine's cache or is being fetched.
     Cached,
 }
 
 impl ImageState {
-    /// The state of an image on a machine.
+    /// Returns the state of an image on a machine.
     pub fn new(machine: &Machine, image: ImageIx) -> ImageState {
         if machine.holds(image) {
             ImageState::Cached
--- a/src/placement/machine_view/mod.rs
+++ b/src/placement/machine_view/mod.rs
@@ -1,5 +1,5 @@
-//! The machines as one round of placement sees them: only what the choice needs,
-//! side by side, so that looking at all of them is cheap.
+//! A round's view of the machines. It holds only the data that the choice of a machine
+//! needs, in one contiguous vector, so that scanning all machines is cheap.
 
 mod image_caches;
 mod ranking;
@@ -19,38 +19,39 @@
 use ranking::Score;
 use slot::Slot;
 
-/// At most one slot in so many is reserved for jobs that would starve.
+/// At most one slot in this many, rounded up, is reserved for urgent jobs.
 const SLOTS_PER_RESERVATION: usize = 8;
 
-/// Where there is room for a task.
+/// Which machines have room for a task of a job, in terms of its image.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoomForTask {
-    /// On a machine that has its image cached.
+    /// At least one machine with room has the image cached.
     WithImageCached,
-    /// Only on machines without the image, while one that has it cached is full.
+    /// Only machines without the image have room, and a machine that has it cached is full.
     CacheHoldersFull {
         /// Index of the first slot with room.
         first_slot: usize,
     },
-    /// Only on machines without the image, and no other machine has it cached.
+    /// Only machines without the image have room, and no machine has it cached.
     WithoutImage,
-    /// On no machine.
+    /// No machine has room.
     Nowhere,
 }
 
-/// The machines that may be given tasks, with the room that is left on each. A slot
-/// is named by its index.
+/// The machines that may be given tasks, with the room left on each. Each machine has one
+/// slot, which is identified by its index.
 #[derive(Debug)]
 pub struct MachineView {
     slots: Vec<Slot>,
     image_caches: ImageCaches,
-    /// Shapes for which no slot has room. Room only shrinks within a round.
+    /// Shapes for which no slot has room. Room only shrinks within a round, so entries stay
+    /// valid until its end.
     unplaceable: UnplaceableShapes,
-    /// How many slots are reserved.
+    /// The number of reserved slots.
     reserved: usize,
 }
 
-/// A slot that a job may use, full or not.
+/// A slot that a job may use, whether or not it has room.
 struct OpenSlot<'a> {
     index: usize,
     slot: &'a Slot,
@@ -58,7 +59,7 @@
 }
 
 impl MachineView {
-    /// A view of the machines that may be given tasks now.
+    /// Creates a view of the machines that may be given tasks now.
     pub fn new(workers: &Workers, topology: &Topology, now: Millis) -> MachineView {
         let mut slots = Vec::with_capacity(workers.machines.len());
         for (machine_ix, machine) in workers.machines.iter() {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The slots that the job may use, in the order of their indices.
+    /// Iterates over the slots that the job may use, in the order of their indices.
     fn open_to<'a>(&'a self, job: &'a Job, zones: &'a Option<Vec<ZoneIx>>) -> impl Iterator<Item = OpenSlot<'a>> {
         let image_states = self.image_caches.states(job.image);
         let slots = self.slots.iter().zip(image_states).enumerate();
@@ -90,12 +91,14 @@
             })
     }
 
-    /// Where there is room for one of the job's tasks in these zones (`None`: in any).
+    /// Returns which machines in these zones have room for one of the job's tasks. `None`
+    /// stands for all zones.
     pub fn room_for(&mut self, workers: &Workers, job: &Job, zones: &Option<Vec<ZoneIx>>) -> RoomForTask {
-        self.image_caches.look_up(job.image, &self.slots, workers);
-        // What is known of all cache holders says nothing of those in some zones only.
-        let is_particular = zones.is_some() || !job.failed_on.is_empty();
-        if !is_particular && self.image_caches.are_full_for(job) {
+        self.image_caches.ensure_states(job.image, &self.slots, workers);
+        // The record of full cache holders covers all zones and machines, so it can't be used
+        // for a job that is restricted to some of them.
+        let has_job_specific_limits = zones.is_some() || !job.failed_on.is_empty();
+        if !has_job_specific_limits && self.image_caches.are_full_for(job) {
             let mut open = self.open_to(job, zones);
             let found = open.find(|open| open.slot.has_room(job.shape.resources));
             return found.map_or(RoomForTask::Nowhere, |open| RoomForTask::CacheHoldersFull {
@@ -110,7 +113,7 @@
                 (false, image) => cache_holder_full |= image == ImageState::Cached,
             }
         }
-        if cache_holder_full && !is_particular {
+        if cache_holder_full && !has_job_specific_limits {
             self.image_caches.note_full_for(job);
         }
         match (first_slot, cache_holder_full) {
@@ -120,9 +123,10 @@
         }
     }
 
-    /// Ranks the slots that the job may use and that have room for one of its tasks.
+    /// Ranks the slots in these zones that the job may use and that have room for one of its
+    /// tasks. `None` stands for all zones.
     pub fn rank(&mut self, workers: &Workers, job: &Job, zones: &Option<Vec<ZoneIx>>) -> Ranking {
-        self.image_caches.look_up(job.image, &self.slots, workers);
+        self.image_caches.ensure_states(job.image, &self.slots, workers);
         let mut scores = Vec::with_capacity(self.slots.len());
         let mut cache_holder_full = false;
         for open in self.open_to(job, zones) {
@@ -135,7 +139,8 @@
         Ranking::new(scores, job.shape.resources, cache_holder_full)
     }
 
-    /// The best slot of a ranking now, after what was placed by it.
+    /// Returns the best slot of a ranking that still has room. Slots that have become full
+    /// since they were ranked are dropped from the ranking.
     pub fn best(&self, ranking: &mut Ranking, image: ImageIx) -> Option<Best> {
         loop {
             let slot = ranking.best_slot()?;
@@ -151,14 +156,16 @@
         }
     }
 
-    /// Gives room of a slot to a task, and its machine the task's image.
+    /// Subtracts a task's resources from a slot's room and records that the machine fetches
+    /// the task's image.
     pub fn assign(&mut self, slot: usize, resources: Resources, image: ImageIx) {
         self.image_caches.add(image, slot);
         self.slots[slot].free.subtract(resources);
     }
 
-    /// Reserves the roomiest slot that the shape may use: it is kept from everybody
-    /// else, so that it empties until the shape fits. No more than a part of all slots.
+    /// Reserves the slot with the most free CPUs that the shape may use. No job is placed on
+    /// a reserved slot for the rest of the round, so that its room grows as running tasks end,
+    /// until the shape fits. Does nothing once one in [`SLOTS_PER_RESERVATION`] slots is reserved.
     pub fn reserve(&mut self, shape: &Shape) {
         if self.reserved >= self.slots.len().div_ceil(SLOTS_PER_RESERVATION) {
             return;
@@ -171,22 +178,22 @@
         }
     }
 
-    /// The machine of a slot.
+    /// Returns the machine of a slot.
     pub fn machine_at(&self, slot: usize) -> MachineIx {
         self.slots[slot].machine
     }
 
-    /// The type of a slot's machine.
+    /// Returns the type of a slot's machine.
     pub fn type_at(&self, slot: usize) -> TypeIx {
         self.slots[slot].offer.type_ix
     }
 
-    /// Whether it is known that no slot has room for the shape.
+    /// Whether an earlier search of this round found that no slot has room for the shape.
     pub fn is_unplaceable(&self, shape: &Shape) -> bool {
         self.unplaceable.contains(shape)
     }
 
-    /// Remembers that no slot has room for the shape.
+    /// Records that no slot has room for the shape.
     pub fn note_unplaceable(&mut self, shape: &Shape) {
         self.unplaceable.insert(shape);
     }
--- a/src/placement/machine_view/ranking.rs
+++ b/src/placement/machine_view/ranking.rs
@@ -1,4 +1,4 @@
-//! The order in which slots suit a job, by Pheromone's Algorithm 1.
+//! The ranking of the slots for a job, by Pheromone's Algorithm 1.
 
 use super::slot::Slot;
 use crate::placement::image_state::ImageState;
@@ -6,9 +6,10 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// How well a slot suits a job, by Pheromone's Algorithm 1: most of the input first; then cheap
-/// machines, the smallest type and the fullest machine, so that others fall idle and
-/// are returned. Among equals the first slot wins.
+/// How well a slot suits a job, by Pheromone's Algorithm 1. Slots with the image cached come
+/// first; then spot machines, since they are cheap, the smallest machine type and the fullest
+/// machine, so that other machines become idle and are returned. Among equal slots, the one
+/// with the lowest index wins.
 #[derive(Clone, Copy, Debug)]
 pub struct Score {
     image: ImageState,
@@ -19,7 +20,7 @@
 }
 
 impl Score {
-    /// The score of the slot at this index of the view.
+    /// Computes the score of the slot at this index of the view.
     pub fn new(slot_index: usize, slot: &Slot, image: ImageState) -> Score {
         Score {
             image,
@@ -36,8 +37,8 @@
         let kind = (self.image, self.spot).cmp(&(other.image, other.spot));
         let smaller = other.type_cpus.total_cmp(&self.type_cpus);
         let fuller = other.free_cpus.total_cmp(&self.free_cpus);
-        let first = self.slot_index.cmp(&other.slot_index);
-        kind.then(smaller).then(fuller).then(first)
+        let lower_index = self.slot_index.cmp(&other.slot_index);
+        kind.then(smaller).then(fuller).then(lower_index)
     }
 }
 
@@ -55,23 +56,24 @@
 
 impl Eq for Score {}
 
-/// The slots with room for a job's tasks, ranked by one look at all machines.
+/// The slots with room for a job's tasks, ranked by one scan of all machines.
 ///
-/// A slot that is given a task is fuller than before and fetches the image, so it
-/// stays the best until it is full: the ranking holds for all tasks of the job that
-/// are placed one after the other.
+/// A slot that is given a task becomes fuller and fetches the image, so it remains the best
+/// slot until it is full. One ranking is therefore valid for all tasks of the job that are
+/// placed consecutively.
 #[derive(Debug)]
 pub struct Ranking {
     scores: BinaryHeap<Score>,
-    /// What each task of the job asks for.
+    /// The resources that each task of the job asks for.
     pub resources: Resources,
-    /// Whether a machine that the job may use has its image cached and no room.
+    /// Whether a machine that the job may use has its image cached but no room.
     pub cache_holder_full: bool,
     is_complete: bool,
 }
 
 impl Ranking {
-    /// Ranks all slots with room for a task that asks for this much.
+    /// Ranks slots by their scores. `scores` holds all slots with room for a task that asks
+    /// for `resources`.
     pub fn new(scores: Vec<Score>, resources: Resources, cache_holder_full: bool) -> Ranking {
         Ranking {
             scores: scores.into(),
@@ -81,37 +83,39 @@
         }
     }
 
-    /// Leaves out the best slot, which has room but can't take the next task. The
-    /// tasks that follow are not placed there by this ranking either.
+    /// Removes the best slot, which has room but can't take the next task. This ranking does
+    /// not offer it to later tasks either.
     pub fn skip_best(&mut self) {
         self.scores.pop();
         self.is_complete = false;
     }
 
-    /// Whether no slot with room was left out.
+    /// Whether no slot with room was removed by [`Ranking::skip_best`].
     pub fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// The index of the best slot when it was ranked.
+    /// Returns the index of the best remaining slot, which may have become full since the
+    /// slots were ranked.
     pub fn best_slot(&self) -> Option<usize> {
         self.scores.peek().map(|score| score.slot_index.0)
     }
 
-    /// Drops the best slot, which is full by now.
+    /// Removes the best slot, which has become full. `image` is the state of the job's image
+    /// in that slot.
     pub fn drop_full(&mut self, image: ImageState) {
         self.cache_holder_full |= image == ImageState::Cached;
         self.scores.pop();
     }
 }
 
-/// The best slot for a task, and what speaks for waiting.
+/// The best slot for a task, with the data that decides whether to wait instead.
 #[derive(Debug, PartialEq)]
 pub struct Best {
     /// Index of the slot in the view.
     pub slot: usize,
-    /// Whether its machine has the image.
+    /// The state of the image on the slot's machine.
     pub image: ImageState,
-    /// Whether a machine that the job may use has its image cached and no room.
+    /// Whether a machine that the job may use has its image cached but no room.
     pub cache_holder_full: bool,
 }
--- a/src/placement/machine_view/slot.rs
+++ b/src/placement/machine_view/slot.rs
@@ -1,24 +1,24 @@
-//! One machine in the view of a round.
+//! One machine in a round's view of the machines.
 
 use crate::ids::MachineIx;
 use crate::resources::{Offer, Resources, Shape};
 use crate::topology::TypeInfo;
 use crate::workers::Machine;
 
-/// A machine that may be given tasks, and the room that the round has left on it.
+/// A machine that may be given tasks, with the room that is left on it in this round.
 #[derive(Debug)]
 pub struct Slot {
     pub machine: MachineIx,
     pub offer: Offer,
-    /// CPUs of the whole machine.
+    /// The number of CPUs of the machine type, in use or not.
     pub type_cpus: f64,
     pub free: Resources,
-    /// Kept empty for a job that would else never find room.
+    /// Whether the round places nothing more here, so that an urgent job finds room later.
     pub reserved: bool,
 }
 
 impl Slot {
-    /// The slot of a machine of this type.
+    /// Creates the slot of a machine of this type.
     pub fn new(machine_ix: MachineIx, machine: &Machine, info: &TypeInfo) -> Slot {
         Slot {
             machine: machine_ix,
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Whether a task that asks for this much may start here now.
+    /// Whether a task that asks for these resources fits here now.
     pub fn has_room(&self, resources: Resources) -> bool {
         !self.reserved && self.free.fits(resources)
     }
 
-    /// Whether tasks of this shape may run here at all, full or not.
+    /// Whether tasks of this shape may run here, whether or not there is room.
     pub fn is_allowed_by(&self, shape: &Shape) -> bool {
         shape.allows(self.offer)
     }
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-/// Machines of two types, and one job of 40 tasks.
+/// A cluster with machines of two types and one job of 40 tasks.
 struct Fixture {
     topology: Topology,
     workers: Workers,
@@ -17,7 +17,8 @@
     job: JobIx,
 }
 
-/// A machine: its size, how it is rented, its CPUs in use, and the image it has.
+/// Whether the machine is large, whether it is a spot machine, its CPUs in use, and the image
+/// it has cached as an offset from the job's image.
 type MachineState = (bool, bool, f64, Option<u32>);
 
 impl Fixture {
@@ -96,8 +97,8 @@
     jobs.add("j-1", &key, 1, topology).expect("a known team")
 }
 
-/// Pheromone's Algorithm 1 as the plain scan of all machines states it.
-fn plain_scan(fixture: &Fixture) -> Option<MachineIx> {
+/// Reference implementation of Pheromone's Algorithm 1: scans all machines for each task.
+fn scan_all_machines(fixture: &Fixture) -> Option<MachineIx> {
     let job = fixture.job();
     let mut best: Option<((bool, bool, f64, f64), MachineIx)> = None;
     for (ix, machine) in fixture.workers.machines.iter() {
@@ -116,7 +117,7 @@
     best.map(|(_, ix)| ix)
 }
 
-/// A machine that the job may use holds its image and has no room for its task.
+/// Whether a machine that the job may use has its image cached but no room for its tasks.
 fn cache_holder_is_full(fixture: &Fixture) -> bool {
     let job = fixture.job();
     fixture.workers.machines.iter().any(|(_, machine)| {
@@ -128,10 +129,10 @@
     })
 }
 
-/// Guards against a job bound to a zone that waits there for a full machine of
-/// another, because jobs bound to none found that all holders are full.
+/// Guards against a job restricted to one zone that waits for a full cache holder in another
+/// zone, because the view recorded for unrestricted jobs that all cache holders are full.
 #[test]
-fn full_holders_elsewhere_keep_no_job_of_a_zone_waiting() {
+fn full_cache_holders_in_other_zones_do_not_delay_a_zone_restricted_job() {
     let mut fixture = Fixture::new(&[(false, true, 8.0, Some(0))]);
     fixture.add_empty_machine("host-south", "small", "south", true);
     let south = fixture.topology.zones.intern("south");
@@ -144,9 +145,10 @@
 }
 
 proptest! {
-    /// One ranking serves all tasks that are placed one after the other.
+    /// One ranking is valid for all tasks that are placed consecutively. Guards against a
+    /// stale ranking that chooses another machine than a new scan would.
     #[test]
-    fn the_view_chooses_what_the_plain_scan_chooses(
+    fn one_ranking_chooses_the_same_machines_as_a_scan_for_each_task(
         machines in proptest::collection::vec(
             (any::<bool>(), any::<bool>(), 0.0f64..16.0, proptest::option::of(0u32..2)), 1..30
         ),
@@ -157,7 +159,7 @@
         let mut ranking = view.rank(&fixture.workers, fixture.job(), &None);
         for _ in 0..tasks {
             let (workers, job) = (&fixture.workers, fixture.job());
-            let expected = plain_scan(&fixture);
+            let expected = scan_all_machines(&fixture);
             let (resources, image) = (job.shape.resources, job.image);
             let has_image = |best: &MachineIx| workers.machines.get(*best).is_some_and(|machine| machine.holds(image));
             let room = match (expected, cache_holder_is_full(&fixture)) {
@@ -168,7 +170,7 @@
                 },
                 (Some(_), false) => RoomForTask::WithoutImage,
             };
-            // The second look may know more than the first.
+            // The second call may use what the first one recorded.
             prop_assert_eq!(view.room_for(workers, job, &None), room);
             prop_assert_eq!(view.room_for(workers, job, &None), room);
             let found = view.best(&mut ranking, image);
--- a/src/placement/opening.rs
+++ b/src/placement/opening.rs
@@ -1,4 +1,5 @@
-//! Opens attempts: takes a task from its job and room from its team and its machine.
+//! Opens attempts: removes a task from the job's waiting tasks and charges its resources to
+//! the team's quota and the machine.
 
 use super::PlacementContext;
 use crate::Millis;
@@ -8,8 +9,8 @@
 use crate::workers::{Attempt, Machine};
 
 impl PlacementContext<'_> {
-    /// Opens an attempt of a task on a machine, which starts once it is written. Returns
-    /// the chunk that has to be written, if both the job and the machine are known.
+    /// Opens an attempt of a task on a machine. The attempt starts once its chunk is written to
+    /// the store. Returns that chunk, or `None` if the job or the machine is not known.
     pub fn open_attempt(&mut self, job_ix: JobIx, task: u32, machine_ix: MachineIx) -> Option<ChunkId> {
         let job = self.jobs.table.get_mut(job_ix)?;
         let machine = self.workers.machines.get_mut(machine_ix)?;
@@ -18,7 +19,7 @@
         let attempt = Attempt::new(job_ix, task, number, machine_ix, machine.agent_epoch);
         take_task(job, task, self.now.wall_clock);
         self.jobs.team_quotas[job.team.usize()].used.add(job.shape.resources);
-        take_room(machine, job, self.topology);
+        charge_machine(machine, job, self.topology);
         let attempt_ix = self.workers.attempts.insert(attempt);
         machine.open.push(attempt_ix);
         job.open.insert(task, attempt_ix);
@@ -29,7 +30,8 @@
     }
 }
 
-/// The number of the next attempt in a chunk, which has to be written with it.
+/// Takes the next attempt number of a chunk and marks the chunk as changed, since the number
+/// has to be written.
 fn take_attempt_number(job: &mut Job, chunk_number: usize) -> u64 {
     let chunk = &mut job.chunks[chunk_number];
     let number = chunk.next_attempt;
@@ -38,7 +40,8 @@
     number
 }
 
-/// Takes a task from those that wait.
+/// Removes a task from the job's waiting tasks. The last one also ends the job's shortage of
+/// room and its wait for a cached image.
 fn take_task(job: &mut Job, task: u32, wall_clock: Millis) {
     job.mark_task_placed(task);
     job.last_start_ms = wall_clock;
@@ -48,8 +51,9 @@
     }
 }
 
-/// Takes room on the machine, which fetches the job's image if it has not got it.
-fn take_room(machine: &mut Machine, job: &Job, topology: &Topology) {
+/// Charges a task's resources to the machine and records that the machine uses the job's
+/// image, which it fetches if it is not cached.
+fn charge_machine(machine: &mut Machine, job: &Job, topology: &Topology) {
     machine.used.add(job.shape.resources);
     let info = topology.type_info[machine.type_ix.usize()].as_ref();
     let cache_gb = info.map_or(0.0, |info| info.cache_gb);
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -11,8 +11,8 @@
 /// Tolerance for comparing sums of floating-point resource amounts with a guarantee.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// Returns the active jobs with waiting tasks of which none was placed for a long time, the
-/// oldest job first.
+/// Returns the active jobs with waiting tasks that have had no task placed for a long time,
+/// the oldest job first.
 pub fn starving_jobs(jobs: &Jobs, wall_clock: Millis) -> Vec<JobIx> {
     let starving = jobs.table.iter().filter(|(_, job)| job.is_starving(wall_clock));
     let mut by_arrival: Vec<_> = starving.map(|(ix, job)| (job.accepted_ms, ix)).collect();
--- a/src/placement/preemption/candidates.rs
+++ b/src/placement/preemption/candidates.rs
@@ -1,4 +1,4 @@
-//! The machines on which tasks could be stopped, and what stopping them would lose.
+//! The machines on which tasks could be stopped, and how much work that would lose.
 
 use crate::MILLIS_PER_SECOND;
 use crate::ids::{AttemptIx, ImageIx, Index, JobIx, MachineIx};
@@ -10,7 +10,8 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 
-/// Tasks this short end about as soon as a stop would have freed their room.
+/// Tasks with an estimate of at most this many seconds are never stopped: they end about as
+/// soon as a stop would free their room.
 const SHORT_TASK_S: f64 = 5.0;
 
 /// A running task that may be stopped for one of higher priority.
@@ -19,7 +20,7 @@
     pub attempt: AttemptIx,
     pub priority: Priority,
     pub resources: Resources,
-    /// CPU seconds of work lost by stopping it.
+    /// The work lost by stopping the task, in CPU seconds.
     pub loss: f64,
 }
 
@@ -28,27 +29,30 @@
 pub struct Candidate {
     pub machine: MachineIx,
     pub offer: Offer,
-    /// Images that it has cached or is fetching.
+    /// The images that the machine has cached or is fetching.
     pub images: Vec<ImageIx>,
-    /// Free now, or as soon as what is being stopped has ended.
+    /// The room that is free now or will be once the tasks being stopped have ended.
     pub free: Resources,
-    /// The lowest priority first, and of these the smallest loss.
+    /// The tasks that may be stopped: the lowest priority first, and within a priority the
+    /// smallest loss first.
     pub victims: Vec<Victim>,
 }
 
 impl Candidate {
-    /// Brings the victims into the order in which they are stopped.
+    /// Sorts the victims into the order in which they are stopped.
     pub fn sort_victims(&mut self) {
         self.victims
             .sort_by(|a, b| a.priority.cmp(&b.priority).then(a.loss.total_cmp(&b.loss)));
     }
 
-    /// The loss of the first victim; none where nothing need be stopped.
+    /// Returns the loss of the first victim in CPU seconds, or 0 without victims.
     fn least_loss(&self) -> f64 {
         self.victims.first().map_or(0.0, |victim| victim.loss)
     }
 
-    /// How many victims, the first ones, have to be stopped for a task to fit.
+    /// Returns how many victims, counted from the first, have to be stopped for a task of this
+    /// priority to fit. Returns `None` if it doesn't fit even without all victims of lower
+    /// priority.
     pub fn victims_needed(&self, resources: Resources, priority: Priority) -> Option<usize> {
         let mut free = self.free;
         for (count, victim) in self.victims.iter().enumerate() {
@@ -64,8 +68,8 @@
     }
 }
 
-/// Machines on which a task could be stopped for one of these jobs, or is being
-/// stopped. The smallest loss first.
+/// Returns the machines on which a task could be stopped for one of these jobs, or is being
+/// stopped. The machine whose first victim has the smallest loss comes first.
 pub fn find_candidates(cluster: &Cluster<'_>, short_jobs: &[JobIx]) -> Vec<Candidate> {
     let short = short_jobs.iter().filter_map(|&ix| cluster.jobs.table.get(ix));
     let mut search = CandidateSearch {
@@ -74,7 +78,7 @@
         by_machine: BTreeMap::new(),
     };
     for (_, job) in cluster.jobs.table.iter() {
-        search.add_tasks_of(job);
+        search.add_open_tasks(job);
     }
     let mut candidates: Vec<Candidate> = search.by_machine.into_values().collect();
     for candidate in &mut candidates {
@@ -87,16 +91,16 @@
 /// Collects candidates job by job.
 struct CandidateSearch<'a> {
     cluster: &'a Cluster<'a>,
-    /// The highest priority among the jobs that need room.
+    /// The highest priority among the jobs that are short of room; `None` without such jobs.
     highest_priority: Option<Priority>,
     by_machine: BTreeMap<MachineIx, Candidate>,
 }
 
 impl CandidateSearch<'_> {
-    /// Adds the open tasks of a job: those being stopped as room to come, those that may
-    /// be stopped as victims.
-    fn add_tasks_of(&mut self, job: &Job) {
-        let gives_way = self.gives_way(job);
+    /// Adds the open tasks of a job. Those being stopped count as room that will be free;
+    /// those that may be stopped are added as victims.
+    fn add_open_tasks(&mut self, job: &Job) {
+        let is_preemptible = self.is_preemptible(job);
         for &attempt_ix in job.open.values() {
             let Some(attempt) = self.cluster.workers.attempts.get(attempt_ix) else {
                 continue;
@@ -105,7 +109,7 @@
                 if let Some(candidate) = self.candidate_at(attempt.machine) {
                     candidate.free.add(job.shape.resources);
                 }
-            } else if gives_way
+            } else if is_preemptible
                 && let Some(loss) = self.loss_if_stopped(job, attempt)
                 && let Some(candidate) = self.candidate_at(attempt.machine)
             {
@@ -119,14 +123,15 @@
         }
     }
 
-    /// Whether tasks of this job may be stopped for one of the jobs that need room.
-    fn gives_way(&self, job: &Job) -> bool {
+    /// Whether tasks of this job may be stopped for one of the jobs that are short of room.
+    fn is_preemptible(&self, job: &Job) -> bool {
         Some(job.priority()) < self.highest_priority
             && job.spec.deadline_s.is_none()
             && job.can_restart_in_time(self.cluster.now.wall_clock)
     }
 
-    /// CPU seconds lost by stopping a task now. `None`: too much, or not worth it.
+    /// Returns the CPU seconds lost by stopping a task now. Returns `None` if the task must not
+    /// be stopped: it is saving its work, it is too short, or too much work would be lost.
     fn loss_if_stopped(&self, job: &Job, attempt: &Attempt) -> Option<f64> {
         if attempt.observed_state == Some(TaskState::Saving) || job.spec.estimate_s <= SHORT_TASK_S {
             return None;
@@ -135,7 +140,7 @@
         let ran_s = attempt
             .running_since
             .map_or(0.0, |since| (now - since) as f64 / MILLIS_PER_SECOND);
-        // A task that saves loses no more than the time that saving takes.
+        // A task that can save its work loses no more than the time that saving takes.
         let lost_s = if job.spec.checkpoint_s > 0.0 {
             ran_s.min(job.spec.save_s)
         } else {
@@ -144,7 +149,7 @@
         (lost_s <= self.cluster.policy.preempt_lost_s).then_some(lost_s * job.shape.resources.cpus)
     }
 
-    /// The candidate of a machine, if that may be given tasks.
+    /// Returns the candidate of a machine, or `None` if the machine may not be given tasks.
     fn candidate_at(&mut self, machine_ix: MachineIx) -> Option<&mut Candidate> {
         match self.by_machine.entry(machine_ix) {
             Entry::Occupied(entry) => Some(entry.into_mut()),
--- a/src/placement/preemption/demand.rs
+++ b/src/placement/preemption/demand.rs
@@ -1,4 +1,4 @@
-//! The room that a job is short of, and how it is taken from the candidates.
+//! The room that a job is short of, and how it is taken from the candidate machines.
 
 use super::candidates::Candidate;
 use crate::ids::{AttemptIx, ImageIx, MachineIx, ZoneIx};
@@ -7,23 +7,25 @@
 use crate::resources::Shape;
 use crate::wire::Priority;
 
-/// Like tasks of one job that need room.
+/// The tasks of one job that need room. They all have the same shape.
 #[derive(Debug)]
 pub struct Demand {
     pub(super) shape: Shape,
     pub(super) priority: Priority,
     pub(super) image: ImageIx,
-    /// Machines that the job keeps off.
+    /// The machines that the job avoids, because its tasks failed there.
     pub(super) failed_on: Vec<MachineIx>,
-    /// `None`: any.
+    /// The zones that the tasks may run in; `None` for all.
     pub(super) zones: Option<Vec<ZoneIx>>,
+    /// Whether all tasks of the job have to run in the same zone.
     pub(super) one_zone: bool,
-    /// Tasks for which no room is found yet.
+    /// The number of tasks for which no room has been found yet.
     pub(super) unplaced_tasks: u32,
 }
 
 impl Demand {
-    /// Room for so many tasks of the job, in these zones (`None`: in any).
+    /// Creates a demand for this many tasks of the job in these zones. `None` stands for all
+    /// zones.
     pub fn new(job: &Job, tasks: u32, zones: Option<Vec<ZoneIx>>) -> Demand {
         Demand {
             shape: job.shape.clone(),
@@ -36,17 +38,18 @@
         }
     }
 
-    /// Whether room was found for all tasks.
+    /// Whether room has been found for all tasks.
     pub fn is_met(&self) -> bool {
         self.unplaced_tasks == 0
     }
 
-    /// Whether its job alone, and not its shape, rules machines out.
-    pub fn is_particular(&self) -> bool {
+    /// Whether machines are ruled out for this job in particular, beyond those that its shape
+    /// rules out.
+    pub fn has_job_specific_limits(&self) -> bool {
         self.zones.is_some() || !self.failed_on.is_empty()
     }
 
-    /// Counts on the room that is there without stopping anything more.
+    /// Takes room that is free or being freed, without stopping more tasks.
     pub fn take_free_room(&mut self, candidates: &mut [Candidate]) {
         for candidate in candidates {
             while !self.is_met() && candidate.free.fits(self.shape.resources) && self.allows(candidate) {
@@ -55,8 +58,9 @@
         }
     }
 
-    /// Stops tasks for what is still short, on machines that have the image cached
-    /// first. `stops` gets the attempts, up to `max_stops` of them or a few more.
+    /// Chooses victims until all tasks have room, on machines that have the image cached
+    /// first. Their attempts are added to `stops`. No task is served once `stops` has
+    /// `max_stops` entries; the last task served may exceed this by a few.
     pub fn take_victims(&mut self, candidates: &mut [Candidate], max_stops: usize, stops: &mut Vec<AttemptIx>) {
         for image_state in [ImageState::Cached, ImageState::Missing] {
             for candidate in &mut *candidates {
@@ -64,13 +68,14 @@
                     return;
                 }
                 if self.image_state(candidate) == image_state {
-                    self.take_victims_of(candidate, max_stops, stops);
+                    self.take_victims_on(candidate, max_stops, stops);
                 }
             }
         }
     }
 
-    fn take_victims_of(&mut self, candidate: &mut Candidate, max_stops: usize, stops: &mut Vec<AttemptIx>) {
+    /// Chooses victims on one machine for as many tasks as it can make room for.
+    fn take_victims_on(&mut self, candidate: &mut Candidate, max_stops: usize, stops: &mut Vec<AttemptIx>) {
         while !self.is_met() && stops.len() < max_stops && self.allows(candidate) {
             let Some(needed) = candidate.victims_needed(self.shape.resources, self.priority) else {
                 return;
@@ -83,6 +88,7 @@
         }
     }
 
+    /// Whether the tasks may run on the candidate, whether or not it has room.
     fn allows(&self, candidate: &Candidate) -> bool {
         self.shape.allows(candidate.offer)
             && self
@@ -92,6 +98,7 @@
             && !self.failed_on.contains(&candidate.machine)
     }
 
+    /// Returns the state of the job's image on the candidate.
     fn image_state(&self, candidate: &Candidate) -> ImageState {
         if candidate.images.contains(&self.image) {
             ImageState::Cached
@@ -100,7 +107,7 @@
         }
     }
 
-    /// Takes room for one task, which has to be free.
+    /// Takes the room of one task from the candidate's free room, which must suffice.
     fn place_on(&mut self, candidate: &mut Candidate) {
         candidate.free.subtract(self.shape.resources);
         self.unplaced_tasks -= 1;
--- a/src/placement/preemption/mod.rs
+++ b/src/placement/preemption/mod.rs
@@ -1,10 +1,10 @@
-//! Preemption: stops running tasks to make room for jobs that outrank them.
+//! Preemption: stops running tasks to make room for jobs of higher priority.
 //!
-//! A round looks at the open tasks once, notes for each machine which of them may
-//! be stopped and at what loss ([`candidates`]), and then serves the jobs that are
-//! short of room in order of placement ([`victims`]). Room that is free or already being
-//! freed is counted before anything more is stopped. The room is taken by the next rounds
-//! of placement, which go by the same order.
+//! A round scans the open tasks once and records for each machine which of them may be
+//! stopped, and how much work that would lose ([`candidates`]). It then serves the jobs that
+//! are short of room in the order of placement ([`victims`]). Room that is free or already
+//! being freed is counted before more tasks are stopped. The freed room is used by the next
+//! rounds of placement, which serve the jobs in the same order.
 
 mod candidates;
 mod demand;
@@ -22,23 +22,24 @@
 use demand::Demand;
 use victims::choose_victims;
 
-/// Tasks stopped in one round, so that their reports and the starts that follow
-/// don't all come at once.
+/// The most tasks stopped in one round, so that their reports and the starts that follow
+/// don't all arrive at once.
 const MAX_STOPS: usize = 200;
-/// The least time between two rounds of preemption. A stop takes effect within about a
-/// second; room that is still short by then is looked for again.
+/// The shortest time between two rounds of preemption, in milliseconds. A stop takes effect
+/// within about a second; jobs that are still short of room by then are considered again.
 pub const PREEMPTION_INTERVAL_MS: Millis = 500;
 
-/// Chooses the tasks that have to make room for others.
+/// Chooses the tasks that are stopped to make room for jobs of higher priority.
 #[derive(Debug, Default)]
 pub struct Preemptor {
-    /// When tasks to stop were last looked for.
+    /// When the last round ran, in milliseconds of the monotonic clock.
     last_round_at: Millis,
 }
 
 impl Preemptor {
-    /// The attempts to stop where tasks of higher priority have waited for room too
-    /// long. None if it is too soon after the last round.
+    /// Returns the attempts to stop for jobs of higher priority that have waited too long for
+    /// room. The list is empty if less than [`PREEMPTION_INTERVAL_MS`] has passed since the
+    /// last round.
     pub fn choose_victims(&mut self, cluster: &Cluster<'_>) -> Vec<AttemptIx> {
         let now = cluster.now.monotonic;
         if now < self.last_round_at + PREEMPTION_INTERVAL_MS {
@@ -55,20 +56,21 @@
     }
 }
 
-/// How an attempt that has to make room is stopped.
+/// How a preempted attempt is stopped.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StopMode {
-    /// No worker and no other controller has heard of it: it is withdrawn at once.
+    /// Neither a worker nor another controller knows of the attempt: it is withdrawn at once.
     Withdraw,
-    /// Its worker is told to stop it.
+    /// The worker is sent a command to stop the attempt.
     Command {
-        /// How long it may take to save its work.
+        /// How long the task may take to save its work, in seconds.
         grace_s: f64,
     },
 }
 
 impl StopMode {
-    /// How an attempt of this job is stopped. `None`: the job is not known any more.
+    /// Returns how an attempt of this job is stopped. `job` is `None` if the job is no longer
+    /// known.
     pub fn new(attempt: &Attempt, job: Option<&Job>) -> StopMode {
         if attempt.is_only_planned() {
             return StopMode::Withdraw;
@@ -81,26 +83,27 @@
     }
 }
 
-/// Jobs that have waited for room too long, in the order of placement.
+/// Returns the jobs that have waited too long for room, in the order of placement.
 fn jobs_short_of_room(cluster: &Cluster<'_>) -> Vec<JobIx> {
     let wait_ms = crate::millis(cluster.policy.preempt_wait_s);
     let now = cluster.now.monotonic;
     let jobs = &cluster.jobs.table;
-    let is_short = |job: &Job| job.shortage_since.is_some_and(|since| now >= since + wait_ms);
-    // Most rounds nobody is short of room, and the order costs a sort.
-    if !jobs.iter().any(|(_, job)| is_short(job)) {
+    let is_short_of_room = |job: &Job| job.shortage_since.is_some_and(|since| now >= since + wait_ms);
+    // In most rounds no job is short of room, and computing the order costs a sort.
+    if !jobs.iter().any(|(_, job)| is_short_of_room(job)) {
         return Vec::new();
     }
     let order = placement_order(cluster.jobs, cluster.now.wall_clock).into_iter();
-    order.filter(|&ix| jobs.get(ix).is_some_and(is_short)).collect()
+    order.filter(|&ix| jobs.get(ix).is_some_and(is_short_of_room)).collect()
 }
 
-/// What the jobs that outrank some victim still need, within their teams' limits.
+/// Returns the room that is still needed by each job with a higher priority than at least one
+/// possible victim, within the limits of the teams.
 fn demands(cluster: &Cluster<'_>, short_jobs: &[JobIx], candidates: &[Candidate]) -> Vec<Demand> {
     let victims = candidates.iter().flat_map(|candidate| &candidate.victims);
-    let lowest = victims.map(|victim| victim.priority).min();
+    let lowest_priority = victims.map(|victim| victim.priority).min();
     let short = short_jobs.iter().filter_map(|&ix| cluster.jobs.table.get(ix));
-    let outranking = short.filter(|job| lowest.is_some_and(|lowest| lowest < job.priority()));
+    let outranking = short.filter(|job| lowest_priority.is_some_and(|lowest| lowest < job.priority()));
     let mut teams = cluster.jobs.team_quotas.clone();
     let mut demands = Vec::new();
     for job in outranking {
--- a/src/placement/preemption/victims/tests.rs
+++ b/src/placement/preemption/victims/tests.rs
@@ -23,7 +23,8 @@
     prop_oneof![Just(ImageState::Missing), Just(ImageState::Cached)]
 }
 
-/// A machine with so many free CPUs and these tasks: CPUs, priority, loss.
+/// Creates a machine with this number of free CPUs. A victim is given by its CPUs, its
+/// priority and its loss in CPU seconds.
 fn machine(free: u32, image: ImageState, victims: &[(u32, Priority, u32)]) -> Candidate {
     let victim = |&(cpus, priority, loss): &(u32, Priority, u32)| Victim {
         attempt: AttemptIx(0),
@@ -85,7 +86,8 @@
     }
 }
 
-/// How many of the candidate's victims, from the first, have to go for one more task.
+/// Returns how many of the candidate's victims, counted from the first, have to be stopped for
+/// one more task to fit.
 fn victims_needed(candidate: &Candidate, cpus: u32) -> Option<usize> {
     let lower = |victim: &&Victim| victim.priority < Priority::High;
     let below = candidate.victims.iter().filter(lower).count();
@@ -98,8 +100,10 @@
     })
 }
 
-/// What [`choose_victims`] does, one task at a time and remembering nothing.
-fn plain_choice(mut candidates: Vec<Candidate>, wanted: &[(u32, u32)]) -> Vec<AttemptIx> {
+/// Reference implementation of [`choose_victims`] that serves one task at a time and records
+/// nothing between tasks. `wanted` holds the CPUs of a task and the number of tasks for each
+/// demand.
+fn choose_task_by_task(mut candidates: Vec<Candidate>, wanted: &[(u32, u32)]) -> Vec<AttemptIx> {
     let mut stops = Vec::new();
     let mut short = Vec::new();
     for &(cpus, count) in wanted {
@@ -134,14 +138,16 @@
 }
 
 proptest! {
+    /// Guards against shortcuts of the choice that change its result, and against stopping
+    /// tasks of the same or a higher priority.
     #[test]
-    fn victims_are_those_of_the_plain_choice_and_all_rank_lower(
+    fn victims_match_the_reference_choice_and_have_lower_priority(
         candidates in candidates(),
         wanted in proptest::collection::vec((1u32..12, 0u32..8), 1..6)
     ) {
         let demands = wanted.iter().map(|&(cpus, count)| demand(cpus, count)).collect();
         let chosen = choose_victims(candidates.clone(), demands, usize::MAX);
-        prop_assert_eq!(&chosen, &plain_choice(candidates.clone(), &wanted));
+        prop_assert_eq!(&chosen, &choose_task_by_task(candidates.clone(), &wanted));
         let victims: Vec<&Victim> = candidates.iter().flat_map(|candidate| &candidate.victims).collect();
         for attempt in chosen {
             let victim = victims.iter().find(|victim| victim.attempt == attempt).expect("one of them");
@@ -150,10 +156,10 @@
     }
 }
 
-/// Guards against paying twice for one shortage: what is being stopped already is
-/// room to come.
+/// Guards against stopping tasks twice for one shortage: room that is free or being freed is
+/// counted before more tasks are stopped.
 #[test]
-fn nothing_is_stopped_where_room_is_already_coming() {
+fn no_task_is_stopped_if_room_is_free_or_being_freed() {
     let task = (8, Priority::Low, 1);
     let machines = || {
         vec![
@@ -169,6 +175,6 @@
     assert_eq!(
         choose_victims(machines(), vec![demand(8, 9)], 2).len(),
         2,
-        "no more than asked for at most"
+        "no more than `max_stops`"
     );
 }
