--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -83,7 +83,7 @@
     /// Tasks from here on were never looked at since this leader began.
     pub first_unvisited_task: u32,
     /// Tasks to run again, not before the given time.
-    pub retry: VecDeque<(Millis, u32)>,
+    pub retry_queue: VecDeque<(Millis, u32)>,
     /// Until when released tasks wait for a machine that holds the image. Once over,
     /// the job's tasks don't wait again.
     pub waiting_until: Option<Millis>,
@@ -179,14 +179,14 @@
 
     /// The next task to place. It stays the next one until it is placed.
     pub fn next_task(&mut self, now: Millis) -> Option<u32> {
-        if let Some(&(at, task)) = self.retry.front()
+        if let Some(&(at, task)) = self.retry_queue.front()
             && at <= now
         {
             return Some(task);
         }
         while self.first_unvisited_task < self.spec.tasks {
             let task = self.first_unvisited_task;
-            let retried = self.retry.iter().any(|&(_, other)| other == task);
+            let retried = self.retry_queue.iter().any(|&(_, other)| other == task);
             if !retried && !self.done.contains(task) && !self.open.contains_key(&task) {
                 return Some(task);
             }
@@ -197,9 +197,9 @@
 
     /// The task that [`Job::next_task`] gave is placed.
     pub fn mark_task_placed(&mut self, task: u32) {
-        match self.retry.front() {
+        match self.retry_queue.front() {
             Some(&(_, front)) if front == task => {
-                self.retry.pop_front();
+                self.retry_queue.pop_front();
             }
             _ => self.first_unvisited_task = task + 1,
         }
@@ -207,7 +207,7 @@
 
     /// Places the task again, not before the given time.
     pub fn retry_task(&mut self, task: u32, at: Millis) {
-        let position = self.retry.partition_point(|&(other, _)| other <= at);
-        self.retry.insert(position, (at, task));
+        let position = self.retry_queue.partition_point(|&(other, _)| other <= at);
+        self.retry_queue.insert(position, (at, task));
     }
 }
--- a/src/pipeline/job_builder.rs
+++ b/src/pipeline/job_builder.rs
@@ -73,7 +73,7 @@
             done: TaskSet::new(spec.tasks),
             open: BTreeMap::new(),
             first_unvisited_task: 0,
-            retry: VecDeque::new(),
+            retry_queue: VecDeque::new(),
             waiting_until: None,
             shortage_since: None,
             consecutive_failures: 0,
