--- a/src/pipeline/chunk.rs
+++ b/src/pipeline/chunk.rs
@@ -1,37 +1,37 @@
-//! A chunk of a job's tasks, which share one key of the state service.
+//! A chunk of a job's tasks, which share one key in the state service.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize, Serializer};
 
-/// What a chunk's value takes of the size that the service allows; the rest is left
-/// for names that are longer than usual.
-const VALUE_SHARE: f64 = 0.8;
-/// Bytes of one open attempt in a chunk's value.
+/// The share of the service's value size limit that a chunk's value is planned to use. The
+/// rest is left for machine names that are longer than usual.
+const VALUE_SIZE_SHARE: f64 = 0.8;
+/// The assumed size of one open attempt in a chunk's value, in bytes.
 const OPEN_RECORD_BYTES: f64 = 52.0;
-const FEWEST_TASKS: u32 = 8;
-const MOST_TASKS: u32 = 240;
+const MIN_TASKS_PER_CHUNK: u32 = 8;
+const MAX_TASKS_PER_CHUNK: u32 = 240;
 
-/// How many tasks a chunk holds, so that its value stays within the size limit of the
-/// service while all of them are open.
+/// Returns how many tasks a chunk holds, so that its value stays within the size limit of the
+/// service even if all of them are open. `value_kb` is that limit in KiB.
 pub fn tasks_per_chunk(value_kb: f64) -> u32 {
-    let tasks = value_kb * 1024.0 * VALUE_SHARE / OPEN_RECORD_BYTES;
-    (tasks as u32).clamp(FEWEST_TASKS, MOST_TASKS)
+    let tasks = value_kb * 1024.0 * VALUE_SIZE_SHARE / OPEN_RECORD_BYTES;
+    (tasks as u32).clamp(MIN_TASKS_PER_CHUNK, MAX_TASKS_PER_CHUNK)
 }
 
-/// The fields of an [`OpenAttemptRecord`] in the order in which they are stored.
+/// The fields of an [`OpenAttemptRecord`], in the order in which they are stored.
 type StoredRecord = (u32, u64, String, u64);
 
-/// An open attempt in a chunk's value; stored as an array.
+/// An open attempt in a chunk's value. It is stored as an array.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "StoredRecord")]
 pub struct OpenAttemptRecord {
     /// The number of the task within its job.
     pub task: u32,
-    /// The attempt number.
+    /// The attempt number, unique within the chunk.
     pub attempt: u64,
-    /// The name of the machine that it was placed on.
+    /// The name of the machine on which the attempt was placed.
     pub machine: String,
-    /// The epoch of the worker agent that it was placed with.
+    /// The epoch of the machine's worker agent when the attempt was placed.
     pub agent_epoch: u64,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// By hand, since `serde(into)` would copy every name of a machine.
+/// Implemented by hand, since `serde(into)` would copy the machine name of every record.
 impl Serialize for OpenAttemptRecord {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         (self.task, self.attempt, &self.machine, self.agent_epoch).serialize(serializer)
@@ -56,42 +56,43 @@
 /// The value of a chunk's key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChunkValue {
-    /// The next attempt number. Numbers rise within a chunk and are never reused.
+    /// The next attempt number. Numbers increase within a chunk and are never reused.
     #[serde(rename = "next")]
     pub next_attempt: u64,
     /// The tasks that are done, as [`TaskSet::format_ranges`](super::TaskSet::format_ranges) writes them.
     pub done: String,
-    /// The attempts that are not proven over.
+    /// The attempts that are not known for certain to have ended.
     pub open: Vec<OpenAttemptRecord>,
 }
 
-/// How the key of a chunk stands to what the leader knows.
+/// Whether a chunk's key holds the leader's current state of the chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteState {
-    /// The key says all.
+    /// The key holds the current state.
     Written,
-    /// Changed since its last write was built.
+    /// The chunk has changed since its last write was built, and no write is in flight.
     Changed,
-    /// In the transaction in flight.
+    /// The current state is in the transaction in flight.
     InFlight,
-    /// In the transaction in flight, and changed since that was built.
+    /// The chunk is in the transaction in flight, and has changed since that was built.
     ChangedInFlight,
 }
 
-/// What the leader knows of a chunk's key.
+/// The leader's state of a chunk and its key.
 #[derive(Clone, Debug)]
 pub struct Chunk {
-    /// The version of its key; 0 while there is none.
+    /// The version of the chunk's key; 0 while the key does not exist.
     pub version: u64,
-    /// The next attempt number.
+    /// The next attempt number, which is stored in [`ChunkValue::next_attempt`].
     pub next_attempt: u64,
     state: WriteState,
-    /// When its last write was built.
+    /// When the last write of the chunk was built, in milliseconds of the monotonic clock; 0
+    /// before the first.
     last_write_built_at: Millis,
 }
 
 impl Chunk {
-    /// A chunk of which nothing has been written yet.
+    /// Creates a chunk without a key, which need not be written before it changes.
     pub fn new() -> Chunk {
         Chunk {
             version: 0,
@@ -101,17 +102,18 @@
         }
     }
 
-    /// Whether its key says all that the leader knows of it.
+    /// Whether the key holds the current state, so that nothing has to be written.
     pub fn is_written(&self) -> bool {
         self.state == WriteState::Written
     }
 
-    /// When its last write was built.
+    /// Returns when the last write of the chunk was built, in milliseconds of the monotonic
+    /// clock; 0 before the first.
     pub fn last_write_built_at(&self) -> Millis {
         self.last_write_built_at
     }
 
-    /// Something changed that its key does not say.
+    /// Records a change that has to be written to the key.
     pub fn mark_changed(&mut self) {
         self.state = match self.state {
             WriteState::Written | WriteState::Changed => WriteState::Changed,
@@ -119,7 +121,8 @@
         };
     }
 
-    /// Its changes need not be written: another key says all there is to say.
+    /// Discards changes that need not be written anymore, because the record of the job's end
+    /// supersedes them.
     pub fn discard_changes(&mut self) {
         self.state = match self.state {
             WriteState::Written | WriteState::Changed => WriteState::Written,
@@ -127,13 +130,14 @@
         };
     }
 
-    /// Its value goes into the transaction that is built now.
+    /// Records that the chunk's value is part of the transaction being built.
     pub fn write_started(&mut self, now: Millis) {
         self.state = WriteState::InFlight;
         self.last_write_built_at = now;
     }
 
-    /// The transaction with its value was applied.
+    /// Records that the transaction with the chunk's value was applied, which gave the key this
+    /// version.
     pub fn write_committed(&mut self, version: u64) {
         self.version = version;
         self.state = match self.state {
@@ -142,7 +146,8 @@
         };
     }
 
-    /// The transaction with its value was not applied.
+    /// Records that the transaction with the chunk's value was not applied, so that the chunk
+    /// has to be written again.
     pub fn write_failed(&mut self) {
         self.state = WriteState::Changed;
     }
--- a/src/pipeline/chunk/tests.rs
+++ b/src/pipeline/chunk/tests.rs
@@ -19,8 +19,10 @@
     assert!(serde_json::from_str::<OpenAttemptRecord>(text).is_err());
 }
 
+/// Guards against a change that is lost because the chunk changed after its transaction was
+/// built and the commit of that transaction marked it as written.
 #[test]
-fn a_chunk_that_changed_while_in_flight_is_not_written_once_committed() {
+fn a_chunk_changed_while_in_flight_has_to_be_written_again() {
     let mut chunk = Chunk::new();
     chunk.mark_changed();
     chunk.write_started(10);
@@ -35,7 +37,7 @@
 }
 
 #[test]
-fn a_chunk_whose_write_failed_is_still_to_be_written() {
+fn a_chunk_whose_write_failed_has_to_be_written_again() {
     let mut chunk = Chunk::new();
     chunk.write_started(10);
     chunk.write_failed();
--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -1,5 +1,5 @@
-//! One job: what its tasks ask for, which of them wait, are open or done, and how it
-//! stands against the time at which it is due.
+//! A job: what its tasks ask for, which of them are waiting, open or done, and how urgent the
+//! job is with regard to its due time and its age.
 
 use super::{Chunk, DependencyTrigger, TaskSet};
 use crate::Millis;
@@ -9,175 +9,183 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
 
-/// Failures, on different machines or at different times, after which a job none of
-/// whose tasks was ever done is taken for one submitted with a mistake.
-const FAILURES_OF_MISTAKEN_JOB: u32 = 3;
-/// Without a start for this long a job starves: one of its tasks gets the next
-/// room there is.
-const STARVING_MS: Millis = 100_000;
-/// A job this old goes before all younger ones, whatever their priority: the
-/// order by priority and deadline alone could put it off for ever.
-const OLD_MS: Millis = 300_000;
-/// How long a job that is short of room keeps off machines that have it, since it failed
-/// on them or they list an earlier attempt.
+/// The number of failures, on different machines or at different times, after which a job
+/// without any finished task is considered to have been submitted with a mistake.
+const FAILURES_UNTIL_MISCONFIGURED: u32 = 3;
+/// A job with waiting tasks is starving if none of its tasks has been placed for this long.
+/// One of its tasks is then placed before all other jobs.
+const STARVATION_MS: Millis = 100_000;
+/// A job older than this precedes all younger ones, whatever their priority. The order by
+/// priority and deadline alone could delay it forever.
+const AGE_PRIORITY_MS: Millis = 300_000;
+/// How long a job that is short of room keeps avoiding machines that have room, because its
+/// tasks failed on them or because they list an earlier attempt.
 const LONG_SHORTAGE_MS: Millis = 10_000;
-/// Waiting and fetching again, before a stopped task runs again.
-const RESTART_MS: Millis = 45_000;
-/// What a task that is started again may take, in terms of its estimate.
+/// The assumed time until a stopped task runs again: waiting for room and fetching the image.
+const RESTART_DELAY_MS: Millis = 45_000;
+/// The assumed duration of a restarted task, as a multiple of its estimate.
 const RESTART_ESTIMATE_FACTOR: f64 = 1.5;
 
-const FIRST_BACKOFF_MS: Millis = 500;
-const LONGEST_BACKOFF_MS: Millis = 60_000;
-/// The backoff doubles no more often than this.
-const MOST_DOUBLINGS: u32 = 7;
+const MIN_BACKOFF_MS: Millis = 500;
+const MAX_BACKOFF_MS: Millis = 60_000;
+/// The backoff is doubled at most this many times.
+const MAX_BACKOFF_DOUBLINGS: u32 = 7;
 
-/// How long a job that keeps failing waits before its next try: it is never
-/// dropped, since only its user ends it, but it must not wear machines out.
+/// Returns how long, in milliseconds, a job that keeps failing waits before its next attempt.
+/// The job is never dropped, since only its user may end it, but its attempts must not keep
+/// machines busy.
 pub fn failure_backoff(consecutive_failures: u32) -> Millis {
-    match consecutive_failures.checked_sub(FAILURES_OF_MISTAKEN_JOB) {
+    match consecutive_failures.checked_sub(FAILURES_UNTIL_MISCONFIGURED) {
         None => 0,
-        Some(doublings) => (FIRST_BACKOFF_MS << doublings.min(MOST_DOUBLINGS)).min(LONGEST_BACKOFF_MS),
+        Some(doublings) => (MIN_BACKOFF_MS << doublings.min(MAX_BACKOFF_DOUBLINGS)).min(MAX_BACKOFF_MS),
     }
 }
 
-/// A job with its shape in indices.
+/// A job that has not been cleaned up yet, with its names resolved to indices.
 #[derive(Debug)]
 pub struct Job {
-    /// Its name, unique in the shard.
+    /// The job's id, unique in the shard.
     pub id: String,
     /// The job as its user submitted it.
     pub spec: JobSpec,
     /// The team that owns it.
     pub team: TeamIx,
-    /// The image that its tasks run in.
+    /// The container image that its tasks run in.
     pub image: ImageIx,
-    /// Jobs of one class whose tasks also ask for the same: what demand is
-    /// counted by.
+    /// The class by which demand is counted: jobs of the same submitted class whose tasks also
+    /// have the same shape.
     pub class: ClassIx,
-    /// What each of its tasks asks of a machine.
+    /// What each of its tasks requires of a machine.
     pub shape: Shape,
-    /// When it was accepted, by time of day.
+    /// When the job was accepted, in milliseconds since the Unix epoch.
     pub accepted_ms: u64,
-    /// When it should be complete by its class's objective or its deadline, by time of
-    /// day.
+    /// When the job should be complete according to its class's objective or its own deadline,
+    /// in milliseconds since the Unix epoch.
     pub due_ms: u64,
-    /// When its tasks have to start for that.
+    /// The latest start of its tasks that meets its objectives and its deadline, in
+    /// milliseconds since the Unix epoch.
     pub start_by_ms: u64,
-    /// Neither its class nor the job has an objective or a deadline: it runs in what
-    /// the others leave.
+    /// Whether neither its class has an objective nor the job a deadline. Such a job uses the
+    /// capacity that other jobs leave.
     pub best_effort: bool,
-    /// When one of its tasks was last placed, by time of day.
+    /// When one of its tasks was last placed, in milliseconds since the Unix epoch; 0 if none
+    /// has been placed by this leader.
     pub last_start_ms: u64,
-    /// The version of its key.
+    /// The version of the job's key in the state service.
     pub key_version: u64,
-    /// How it ended, if it has.
+    /// How the job ended; `None` while it is unfinished.
     pub ended: Option<JobState>,
-    /// When its tasks may start.
+    /// Decides when its tasks may start.
     pub trigger: DependencyTrigger,
-    /// Its tasks by the keys that hold them.
+    /// The chunks of its tasks, by chunk number. Each chunk has a key of its own.
     pub chunks: Vec<Chunk>,
-    /// The tasks that are done.
+    /// The tasks that have finished successfully.
     pub done: TaskSet,
-    /// Open attempts by task.
+    /// The open attempts, by task number.
     pub open: BTreeMap<u32, AttemptIx>,
-    /// Tasks from here on were never looked at since this leader began.
+    /// The first task that [`Job::next_task`] has not yet passed over since this leader
+    /// started. All tasks from here on are unvisited.
     pub first_unvisited_task: u32,
-    /// Tasks to run again, not before the given time.
+    /// Tasks to run again, each with the earliest time of its next attempt on the monotonic
+    /// clock, in the order of these times.
     pub retry_queue: VecDeque<(Millis, u32)>,
-    /// Until when released tasks wait for a machine that holds the image. Once over,
-    /// the job's tasks don't wait again.
+    /// Until when, on the monotonic clock, waiting tasks wait for a machine that has the image
+    /// cached. Once this time has passed, the tasks don't wait for such a machine again.
     pub waiting_until: Option<Millis>,
-    /// Since when no machine has room for its next task.
+    /// Since when, on the monotonic clock, no machine has had room for its next task; `None`
+    /// while there is no shortage.
     pub shortage_since: Option<Millis>,
-    /// Failures in a row.
+    /// The number of counted failures since a task last finished successfully.
     pub consecutive_failures: u32,
-    /// The machines that they happened on.
+    /// The machines that the job avoids because its tasks failed there.
     pub failed_on: Vec<MachineIx>,
 }
 
 impl Job {
-    /// The place of the chunk that holds this task.
+    /// Returns the index in [`Job::chunks`] of the chunk that holds this task.
     pub fn chunk_index_of(&self, task: u32, tasks_per_chunk: u32) -> usize {
         (task / tasks_per_chunk) as usize
     }
 
-    /// The tasks that a chunk holds.
+    /// Returns the range of tasks that a chunk holds.
     pub fn tasks_of_chunk(&self, number: u32, tasks_per_chunk: u32) -> Range<u32> {
         let first = number * tasks_per_chunk;
         first..(first + tasks_per_chunk).min(self.spec.tasks)
     }
 
-    /// Its priority as submitted.
+    /// Returns the priority with which the job was submitted.
     pub fn priority(&self) -> Priority {
         self.spec.priority
     }
 
-    /// Whether the zones open to it depend on where its tasks are.
+    /// Whether the zones in which its next task may run depend on the zones of its open tasks.
     pub fn zones_depend_on_open_tasks(&self) -> bool {
         self.spec.one_zone || self.spec.spread
     }
 
-    /// Whether all its tasks are done.
+    /// Whether all its tasks have finished successfully.
     pub fn is_complete(&self) -> bool {
         self.done.len() == self.spec.tasks
     }
 
-    /// Whether its tasks may be started.
+    /// Whether the job is unfinished and its tasks may be started.
     pub fn is_active(&self) -> bool {
         self.ended.is_none() && !self.is_complete() && self.trigger.fires()
     }
 
-    /// How many tasks could start now or later, without those already open.
+    /// Returns the number of tasks that are neither done nor open, and so start now or later.
     pub fn waiting_tasks(&self) -> u32 {
         self.spec.tasks - self.done.len() - self.open.len() as u32
     }
 
-    /// Whether it has tasks to place, and other jobs have kept it from that for long.
+    /// Whether the job has waiting tasks, but none has been placed for a long time.
     pub fn is_starving(&self, wall_clock_ms: u64) -> bool {
         self.is_active()
             && self.waiting_tasks() > 0
-            && wall_clock_ms > self.last_start_ms.max(self.accepted_ms) + STARVING_MS
+            && wall_clock_ms > self.last_start_ms.max(self.accepted_ms) + STARVATION_MS
     }
 
-    /// Whether its age puts it before younger jobs. Best-effort work goes first by its
-    /// age only until one of its tasks runs: long tasks of one such class would else
-    /// take all machines at once.
+    /// Whether the job precedes younger jobs because of its age. A best-effort job has age
+    /// priority only while none of its tasks is open: otherwise, long tasks of one such class
+    /// could take all machines at once.
     pub fn has_age_priority(&self, wall_clock_ms: u64) -> bool {
         let eligible = !self.best_effort || self.open.is_empty();
-        eligible && wall_clock_ms > self.accepted_ms + OLD_MS
+        eligible && wall_clock_ms > self.accepted_ms + AGE_PRIORITY_MS
     }
 
-    /// Whether it failed on several machines and none of its tasks was ever done: most
+    /// Whether the job has failed repeatedly and none of its tasks has ever been done. Most
     /// likely it was submitted with a mistake.
     pub fn is_likely_misconfigured(&self) -> bool {
-        self.done.is_empty() && self.consecutive_failures >= FAILURES_OF_MISTAKEN_JOB
+        self.done.is_empty() && self.consecutive_failures >= FAILURES_UNTIL_MISCONFIGURED
     }
 
-    /// Whether one of its tasks, stopped now and started again, would still end well
-    /// before the job is due. Best-effort work is never due.
+    /// Whether a task that is stopped now and started again would still end before the job is
+    /// due, with a margin. Best-effort jobs have no due time, so this is always true for them;
+    /// for other jobs with age priority it is false.
     pub fn can_restart_in_time(&self, wall_clock_ms: u64) -> bool {
         if self.best_effort {
             return true;
         }
-        let restart_ms = crate::millis(self.spec.estimate_s * RESTART_ESTIMATE_FACTOR) + RESTART_MS;
+        let restart_ms = crate::millis(self.spec.estimate_s * RESTART_ESTIMATE_FACTOR) + RESTART_DELAY_MS;
         wall_clock_ms + restart_ms < self.due_ms && !self.has_age_priority(wall_clock_ms)
     }
 
-    /// Stops avoiding the machines that it failed on once it has been short of room for
-    /// long: they may be the only ones that fit it.
+    /// Stops avoiding the machines on which its tasks failed once the job has been short of
+    /// room for a long time. They may be the only machines that its tasks fit on.
     pub fn clear_failed_on_after_long_shortage(&mut self, now: Millis) {
         if self.has_long_shortage(now) {
             self.failed_on.clear();
         }
     }
 
-    /// Whether it has found no room for so long that what keeps it off machines with
-    /// room has to end.
+    /// Whether the job has been short of room for so long that it must no longer avoid any
+    /// machine with room.
     pub fn has_long_shortage(&self, now: Millis) -> bool {
         self.shortage_since.is_some_and(|since| now > since + LONG_SHORTAGE_MS)
     }
 
-    /// The next task to place. It stays the next one until it is placed.
+    /// Returns the next task to place, if any, without removing it. Call
+    /// [`Job::mark_task_placed`] once it is placed.
     pub fn next_task(&mut self, now: Millis) -> Option<u32> {
         if let Some(&(at, task)) = self.retry_queue.front()
             && at <= now
@@ -186,8 +194,8 @@
         }
         while self.first_unvisited_task < self.spec.tasks {
             let task = self.first_unvisited_task;
-            let retried = self.retry_queue.iter().any(|&(_, other)| other == task);
-            if !retried && !self.done.contains(task) && !self.open.contains_key(&task) {
+            let is_queued_for_retry = self.retry_queue.iter().any(|&(_, other)| other == task);
+            if !is_queued_for_retry && !self.done.contains(task) && !self.open.contains_key(&task) {
                 return Some(task);
             }
             self.first_unvisited_task += 1;
@@ -195,7 +203,7 @@
         None
     }
 
-    /// The task that [`Job::next_task`] gave is placed.
+    /// Records that the task returned by [`Job::next_task`] has been placed.
     pub fn mark_task_placed(&mut self, task: u32) {
         match self.retry_queue.front() {
             Some(&(_, front)) if front == task => {
@@ -205,7 +213,7 @@
         }
     }
 
-    /// Places the task again, not before the given time.
+    /// Queues the task to be placed again, not before the given time on the monotonic clock.
     pub fn retry_task(&mut self, task: u32, at: Millis) {
         let position = self.retry_queue.partition_point(|&(other, _)| other <= at);
         self.retry_queue.insert(position, (at, task));
--- a/src/pipeline/job_builder.rs
+++ b/src/pipeline/job_builder.rs
@@ -1,4 +1,4 @@
-//! Makes a [`Job`] of the value of its key.
+//! Builds a [`Job`] from the value of its key.
 
 use super::{Chunk, DependencyTrigger, Job, TaskSet};
 use crate::Millis;
@@ -10,34 +10,37 @@
 use std::collections::{BTreeMap, VecDeque};
 use thiserror::Error;
 
-/// When a job without an objective or a deadline is taken to be due: in order of
-/// arrival behind those soon due.
+/// The time from acceptance after which a job without an objective or a deadline is treated as
+/// due. Such jobs are ordered by arrival, behind the jobs that are due soon.
 const DUE_WITHOUT_OBJECTIVE_MS: Millis = 600_000;
 
-/// Why a job can't be taken into the shard.
+/// Why a job can't be added to the shard.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum JobError {
     /// The settings have no team of this name.
     #[error("the team `{team}` is unknown")]
     UnknownTeam {
-        /// The name that the job gives.
+        /// The team name in the job's specification.
         team: String,
     },
 }
 
-/// The names and objectives by which jobs are put into indices.
+/// Builds jobs: resolves names to indices and computes due times from objectives.
 pub(super) struct JobBuilder<'a> {
     pub teams: &'a Names<TeamIx>,
     pub topology: &'a mut Topology,
     pub images: &'a mut Names<ImageIx>,
     pub classes: &'a mut Names<ClassIx>,
-    /// In which time jobs of a class should be complete.
-    pub due: &'a BTreeMap<String, Millis>,
-    /// In which time their tasks should be started.
+    /// For each class, the time from acceptance within which jobs should be complete, in
+    /// milliseconds.
+    pub finish_within: &'a BTreeMap<String, Millis>,
+    /// For each class, the time from acceptance within which tasks should start, in
+    /// milliseconds.
     pub start_within: &'a BTreeMap<String, Millis>,
 }
 
-/// When a job should be complete, and when its tasks have to start for that.
+/// When a job should be complete and when its tasks have to start to achieve that, in
+/// milliseconds since the Unix epoch.
 struct Schedule {
     due_ms: u64,
     start_by_ms: u64,
@@ -45,7 +48,7 @@
 }
 
 impl JobBuilder<'_> {
-    /// The job of a key that has this version, with none of its tasks open or done.
+    /// Builds the job of a key with this version. None of its tasks is open or done yet.
     pub fn build(&mut self, key: &JobKey, version: u64, tasks_per_chunk: u32) -> Result<Job, JobError> {
         let spec = key.spec.clone();
         let Some(team) = self.teams.get(&spec.team) else {
@@ -67,7 +70,7 @@
             last_start_ms: 0,
             key_version: version,
             ended: key.ended,
-            // Jobs have no upstream today: an empty set fires at once.
+            // Jobs can't depend on other jobs yet: an empty set fires at once.
             trigger: DependencyTrigger::new([]),
             chunks: vec![Chunk::new(); chunks],
             done: TaskSet::new(spec.tasks),
@@ -82,6 +85,7 @@
         })
     }
 
+    /// Returns the shape of the job's tasks, with machine types and zone as indices.
     fn shape(&mut self, spec: &JobSpec) -> Shape {
         let types = spec.types.as_ref();
         Shape {
@@ -96,10 +100,12 @@
         }
     }
 
+    /// Computes the due time and the latest start from the objectives of the job's class and
+    /// its own deadline. The earlier of two due times or starts applies.
     fn schedule(&self, spec: &JobSpec, accepted_ms: u64) -> Schedule {
-        let class_due = self.due.get(&spec.class).copied();
-        let own_due = spec.deadline_s.map(crate::millis);
-        let within = class_due.into_iter().chain(own_due).min();
+        let class_finish_within = self.finish_within.get(&spec.class).copied();
+        let deadline = spec.deadline_s.map(crate::millis);
+        let within = class_finish_within.into_iter().chain(deadline).min();
         let due_ms = accepted_ms + within.unwrap_or(DUE_WITHOUT_OBJECTIVE_MS);
         let start_within = self.start_within.get(&spec.class);
         if within.is_none() && start_within.is_none() {
--- a/src/pipeline/jobs.rs
+++ b/src/pipeline/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs of the shard, and what they are counted and judged by.
+//! The jobs of the shard, with the quotas of their teams and the objectives of their classes.
 
 use super::job_builder::{JobBuilder, JobError};
 use super::{Job, TeamQuota, tasks_per_chunk};
@@ -10,28 +10,31 @@
 use crate::topology::Topology;
 use std::collections::BTreeMap;
 
-/// The jobs that have not been cleaned up yet, with the teams that own them.
+/// The jobs that have not been cleaned up yet, with the quotas of the teams that own them.
 #[derive(Debug)]
 pub struct Jobs {
-    /// The jobs by their ids.
+    /// The jobs, by index and by id.
     pub table: Table<JobIx, Job>,
     team_names: Names<TeamIx>,
     images: Names<ImageIx>,
     classes: Names<ClassIx>,
-    /// What each team is guaranteed, may use and uses.
+    /// The quota and the usage of each team, by team index.
     pub team_quotas: Vec<TeamQuota>,
-    /// In which time jobs of a class should be complete.
-    due: BTreeMap<String, Millis>,
-    /// In which time their tasks should be started.
+    /// For each class with such an objective, the time from acceptance within which its jobs
+    /// should be complete, in milliseconds.
+    finish_within: BTreeMap<String, Millis>,
+    /// For each class with such an objective, the time from acceptance within which the tasks of
+    /// its jobs should start, in milliseconds.
     start_within: BTreeMap<String, Millis>,
-    /// Tasks that are kept under one key.
+    /// The number of tasks in a chunk, which are stored under one key.
     pub tasks_per_chunk: u32,
-    /// Jobs whose keys were seen to be gone.
+    /// The ids of jobs whose keys have been deleted from the store and which still have to be
+    /// removed here.
     deleted_jobs: Vec<String>,
 }
 
 impl Jobs {
-    /// No jobs yet, of the teams and with the objectives of the settings.
+    /// Creates an empty set of jobs with the teams and objectives of the settings.
     pub fn new(params: &Params) -> Jobs {
         let mut team_names = Names::default();
         let mut team_quotas = Vec::new();
@@ -49,56 +52,56 @@
             images: Names::default(),
             classes: Names::default(),
             team_quotas,
-            due: shortest_objectives(&params.objectives, "finished"),
+            finish_within: shortest_objectives(&params.objectives, "finished"),
             start_within: shortest_objectives(&params.objectives, "wait"),
             tasks_per_chunk: tasks_per_chunk(params.state.value_kb),
             deleted_jobs: Vec::new(),
         }
     }
 
-    /// The job of this id.
+    /// Returns the job with this id.
     pub fn find(&self, id: &str) -> Option<&Job> {
         self.table.find(id).and_then(|ix| self.table.get(ix))
     }
 
-    /// Adds a job that appeared, as its key has it.
+    /// Adds a job from the value and the version of its key.
     pub fn add(&mut self, id: &str, key: &JobKey, version: u64, topology: &mut Topology) -> Result<JobIx, JobError> {
         let mut builder = JobBuilder {
             teams: &self.team_names,
             topology,
             images: &mut self.images,
             classes: &mut self.classes,
-            due: &self.due,
+            finish_within: &self.finish_within,
             start_within: &self.start_within,
         };
         let job = builder.build(key, version, self.tasks_per_chunk)?;
         Ok(self.table.insert(id, job))
     }
 
-    /// The quota of a team.
+    /// Returns the quota of a team, to change its usage.
     pub fn quota_mut(&mut self, team: TeamIx) -> &mut TeamQuota {
         &mut self.team_quotas[team.usize()]
     }
 
-    /// The key of this job was seen to be gone.
+    /// Records that the key of this job has been deleted.
     pub fn note_deleted(&mut self, id: String) {
         self.deleted_jobs.push(id);
     }
 
-    /// Takes the jobs whose keys were seen to be gone.
+    /// Returns the ids of the jobs recorded by [`Jobs::note_deleted`] since the last call.
     pub fn take_deleted(&mut self) -> Vec<String> {
         std::mem::take(&mut self.deleted_jobs)
     }
 }
 
-/// For each class, the shortest time that an objective of this kind asks for.
+/// Returns the shortest time, in milliseconds, of all objectives of this kind for each class.
 fn shortest_objectives(objectives: &[Objective], kind: &str) -> BTreeMap<String, Millis> {
     let mut shortest: BTreeMap<String, Millis> = BTreeMap::new();
     for objective in objectives.iter().filter(|objective| objective.kind == kind) {
         if let (Some(class), Some(within_s)) = (&objective.class, objective.within_s) {
             let within = crate::millis(within_s);
-            let least = shortest.entry(class.clone()).or_insert(within);
-            *least = within.min(*least);
+            let shortest_of_class = shortest.entry(class.clone()).or_insert(within);
+            *shortest_of_class = within.min(*shortest_of_class);
         }
     }
     shortest
--- a/src/pipeline/mod.rs
+++ b/src/pipeline/mod.rs
@@ -1,9 +1,9 @@
-//! The jobs of the shard as their leader knows them: what their tasks ask for, which
-//! of them are done, open or to be retried, and what each team may use.
+//! The leader's state of the shard's jobs: what their tasks ask for, which tasks are done,
+//! open or to be retried, and what each team may use.
 //!
-//! A job's tasks are kept in chunks. The key of a chunk holds its tasks that are done,
-//! its open attempts and the next attempt number; an attempt is written there before
-//! its task is started.
+//! A job's tasks are stored in chunks. The key of a chunk holds the tasks that are done, the
+//! open attempts and the next attempt number. An attempt is written there before its task is
+//! started.
 
 mod chunk;
 mod job;
--- a/src/pipeline/quota.rs
+++ b/src/pipeline/quota.rs
@@ -1,28 +1,30 @@
-//! What each team is guaranteed, may use at most, and uses.
+//! The quotas of the teams: guarantee, limit and current usage.
 
 use crate::resources::Resources;
 
-/// Sums of fractions of a CPU may exceed a limit by this much through rounding.
-const ROUNDING: f64 = 1e-6;
+/// Tolerance for sums of fractions of a CPU, which may exceed a limit through rounding.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// The share of the shard's machines that a team has.
+/// A team's share of the shard's machines. Memory is not counted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TeamQuota {
-    /// What the team gets before others get more than they are guaranteed.
+    /// The resources that the team gets before other teams get more than their guarantees.
     pub guarantee: Resources,
-    /// What the team may use at most; 0 for no limit.
+    /// The most that the team may use of each resource; 0 for no limit.
     pub limit: Resources,
-    /// What the team's open attempts take.
+    /// The resources that the team's open attempts use.
     pub used: Resources,
 }
 
 impl TeamQuota {
-    /// Whether the team's limit leaves room for this need. Memory is not limited.
+    /// Whether the team may use these resources in addition. Memory is not limited.
     pub fn allows(&self, need: Resources) -> bool {
-        allows(self.used.cpus, need.cpus, self.limit.cpus) && allows(self.used.gpus, need.gpus, self.limit.gpus)
+        is_within_limit(self.used.cpus, need.cpus, self.limit.cpus)
+            && is_within_limit(self.used.gpus, need.gpus, self.limit.gpus)
     }
 }
 
-fn allows(used: f64, need: f64, limit: f64) -> bool {
-    limit <= 0.0 || used + need <= limit + ROUNDING
+/// Whether the limit of one resource allows this additional use.
+fn is_within_limit(used: f64, need: f64, limit: f64) -> bool {
+    limit <= 0.0 || used + need <= limit + ROUNDING_TOLERANCE
 }
--- a/src/pipeline/task_counts.rs
+++ b/src/pipeline/task_counts.rs
@@ -1,10 +1,10 @@
-//! What users are shown of an unfinished job.
+//! The task counts of an unfinished job, as shown to users.
 
-/// Task counts of an unfinished job, for display.
+/// The task counts of an unfinished job, for display only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// Tasks that are done.
+    /// The number of tasks that have finished successfully.
     pub done: u32,
-    /// Tasks that run.
+    /// The number of tasks that run on a machine or are saving their work there.
     pub running: u32,
 }
--- a/src/pipeline/task_set.rs
+++ b/src/pipeline/task_set.rs
@@ -2,16 +2,19 @@
 
 use std::ops::Range;
 
-/// A set of task numbers: a bitmap in memory, ranges (`0-4,7`) in the store.
+/// A set of task numbers. It is kept as a bitmap in memory and stored as ranges such as
+/// `0-4,7`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TaskSet {
+    /// Bit `n % 64` of word `n / 64` tells whether task `n` is in the set.
     words: Vec<u64>,
     len: u32,
+    /// All task numbers are below this.
     limit: u32,
 }
 
 impl TaskSet {
-    /// An empty set of tasks below `limit`.
+    /// Creates an empty set for task numbers below `limit`.
     pub fn new(limit: u32) -> TaskSet {
         TaskSet {
             words: vec![0; limit.div_ceil(64) as usize],
@@ -20,7 +23,7 @@
         }
     }
 
-    /// How many tasks are in the set.
+    /// Returns the number of tasks in the set.
     pub fn len(&self) -> u32 {
         self.len
     }
@@ -35,7 +38,8 @@
         task < self.limit && self.words[(task / 64) as usize] >> (task % 64) & 1 == 1
     }
 
-    /// True if the task was not in the set before.
+    /// Adds a task. Returns whether the set has changed: it has not if the task was in the set
+    /// already or is not below the limit.
     pub fn insert(&mut self, task: u32) -> bool {
         if task >= self.limit || self.contains(task) {
             return false;
@@ -45,7 +49,8 @@
         true
     }
 
-    /// The part of the set within `range`, as text relative to its start.
+    /// Formats the part of the set within `range`, with numbers relative to the start of
+    /// `range`.
     pub fn format_ranges(&self, range: Range<u32>) -> String {
         let base = range.start;
         let mut parts = Vec::new();
@@ -56,12 +61,13 @@
                 last += 1;
                 tasks.next();
             }
-            parts.push(range_text(first - base, last - base));
+            parts.push(format_range(first - base, last - base));
         }
         parts.join(",")
     }
 
-    /// Adds what [`TaskSet::format_ranges`] wrote; parts of any other form add nothing.
+    /// Adds the tasks of a text written by [`TaskSet::format_ranges`], where `base` is the start
+    /// of the formatted range. Parts of any other form are ignored.
     pub fn insert_ranges(&mut self, base: u32, text: &str) {
         for (first, last) in text.split(',').filter_map(parse_range) {
             for task in first..=last.min(self.limit) {
@@ -71,7 +77,7 @@
     }
 }
 
-fn range_text(first: u32, last: u32) -> String {
+fn format_range(first: u32, last: u32) -> String {
     if first == last {
         first.to_string()
     } else {
--- a/src/pipeline/trigger.rs
+++ b/src/pipeline/trigger.rs
@@ -1,29 +1,30 @@
-//! When a job's tasks may start: once all jobs that it depends on are done.
+//! Decides when a job's tasks may start: once all jobs that it depends on are done.
 
 use std::collections::BTreeSet;
 
-/// Fires once every job of a set is done; an empty set fires at once.
+/// A trigger that fires once all jobs of a set are done. With an empty set it fires at once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DependencyTrigger {
-    missing: BTreeSet<String>,
+    /// The ids of the jobs that are not done yet.
+    unfinished: BTreeSet<String>,
 }
 
 impl DependencyTrigger {
-    /// Waits for the jobs with these ids.
+    /// Creates a trigger that waits for the jobs with these ids.
     pub fn new(upstream: impl IntoIterator<Item = String>) -> DependencyTrigger {
         DependencyTrigger {
-            missing: upstream.into_iter().collect(),
+            unfinished: upstream.into_iter().collect(),
         }
     }
 
-    /// Whether every job of the set is done.
+    /// Whether all jobs of the set are done.
     pub fn fires(&self) -> bool {
-        self.missing.is_empty()
+        self.unfinished.is_empty()
     }
 
-    /// A job is done, whether or not it is one of the set.
+    /// Records that a job is done. Jobs outside the set are ignored.
     pub fn job_done(&mut self, id: &str) {
-        self.missing.remove(id);
+        self.unfinished.remove(id);
     }
 }
 
--- a/src/pipeline/trigger/tests.rs
+++ b/src/pipeline/trigger/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn fires_after_the_last_of_its_set_and_at_once_when_empty() {
+fn fires_once_all_jobs_are_done_and_at_once_for_an_empty_set() {
     assert!(DependencyTrigger::new([]).fires());
     let mut trigger = DependencyTrigger::new(["a".to_string(), "b".to_string()]);
     trigger.job_done("a");
--- a/src/placement/machine_view/mod.rs
+++ b/src/placement/machine_view/mod.rs
@@ -165,7 +165,7 @@
 
     /// Reserves the slot with the most free CPUs that the shape may use. No job is placed on
     /// a reserved slot for the rest of the round, so that its room grows as running tasks end,
-    /// until the shape fits. Does nothing once one in [`SLOTS_PER_RESERVATION`] slots is reserved.
+    /// until the shape fits. Does nothing once one in `SLOTS_PER_RESERVATION` slots is reserved.
     pub fn reserve(&mut self, shape: &Shape) {
         if self.reserved >= self.slots.len().div_ceil(SLOTS_PER_RESERVATION) {
             return;
