--- a/src/pipeline/chunk/tests.rs
+++ b/src/pipeline/chunk/tests.rs
@@ -8,9 +8,12 @@
         machine: "host-1".into(),
         agent_epoch: 9,
     };
-    let text = serde_json::to_string(&record).expect("written");
+    let text = serde_json::to_string(&record).expect("serializable");
     assert_eq!(text, r#"[7,3,"host-1",9]"#);
-    assert_eq!(serde_json::from_str::<OpenAttemptRecord>(&text).expect("read"), record);
+    assert_eq!(
+        serde_json::from_str::<OpenAttemptRecord>(&text).expect("valid record"),
+        record
+    );
 }
 
 #[test]
--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -84,7 +84,7 @@
     /// The open attempts, by task number.
     pub open: BTreeMap<u32, AttemptIx>,
     /// The first task that [`Job::next_task`] has not yet passed over since this leader
-    /// started. All tasks from here on are unvisited.
+    /// started.
     pub first_unvisited_task: u32,
     /// Tasks to run again, each with the earliest time of its next attempt on the monotonic
     /// clock, in the order of these times.
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -4,7 +4,7 @@
 use super::Cluster;
 use super::image_state::ImageState;
 use super::machine_view::{MachineView, Ranking, RoomForTask};
-use super::zones::zones_open_to;
+use super::zones::allowed_zones;
 use crate::Millis;
 use crate::ids::{Index, TypeIx, ZoneIx};
 use crate::pipeline::Job;
@@ -40,7 +40,7 @@
     let ranking = match ranking {
         Some(ranking) => ranking,
         None => {
-            let zones = zones_open_to(cluster, job);
+            let zones = allowed_zones(cluster, job);
             if let Some(until) = cache_wait_without_ranking(cluster, job, view, &zones) {
                 return Choice::Wait { until };
             }
--- a/src/placement/machine_view/image_caches.rs
+++ b/src/placement/machine_view/image_caches.rs
@@ -14,7 +14,8 @@
 pub struct ImageCaches {
     /// For each image, its state on the machine of each slot.
     states: BTreeMap<ImageIx, Vec<ImageState>>,
-    /// For each image, shapes for which no machine that has the image cached has room.
+    /// For each image, shapes for which no machine that has the image cached (cache holder) has
+    /// room.
     /// Entries stay valid until another machine starts to fetch the image.
     too_large_for_holders: BTreeMap<ImageIx, Vec<Shape>>,
 }
@@ -44,7 +45,7 @@
     }
 
     /// Records that the machine of this slot fetches the image.
-    pub fn add(&mut self, image: ImageIx, slot: usize) {
+    pub fn mark_cached(&mut self, image: ImageIx, slot: usize) {
         if let Some(states) = self.states.get_mut(&image)
             && std::mem::replace(&mut states[slot], ImageState::Cached) == ImageState::Missing
         {
@@ -54,7 +55,7 @@
 
     /// Whether it is known that there are cache holders of the job's image which the job may
     /// use, and that none of them has room for its tasks.
-    pub fn are_full_for(&self, job: &Job) -> bool {
+    pub fn are_holders_full_for(&self, job: &Job) -> bool {
         let asks_at_least_as_much =
             |shape: &Shape| shape.allows_same_machines(&job.shape) && job.shape.resources.fits(shape.resources);
         let known = self.too_large_for_holders.get(&job.image);
@@ -63,7 +64,7 @@
 
     /// Records that all cache holders of the job's image which the job may use are too full
     /// for its tasks.
-    pub fn note_full_for(&mut self, job: &Job) {
+    pub fn note_holders_full_for(&mut self, job: &Job) {
         let shapes = self.too_large_for_holders.entry(job.image).or_default();
         shapes.push(job.shape.clone());
     }
--- a/src/placement/machine_view/mod.rs
+++ b/src/placement/machine_view/mod.rs
@@ -5,7 +5,7 @@
 mod ranking;
 mod slot;
 
-pub use ranking::{Best, Ranking};
+pub use ranking::{BestSlot, Ranking};
 
 use super::image_state::ImageState;
 use super::unplaceable_shapes::UnplaceableShapes;
@@ -27,12 +27,14 @@
 pub enum RoomForTask {
     /// At least one machine with room has the image cached.
     WithImageCached,
-    /// Only machines without the image have room, and a machine that has it cached is full.
+    /// Only machines without the image have room, and a machine that has it cached (a cache
+    /// holder) is full.
     CacheHoldersFull {
         /// Index of the first slot with room.
         first_slot: usize,
     },
-    /// Only machines without the image have room, and no machine has it cached.
+    /// Only machines without the image have room, and no machine that the job may use has it
+    /// cached.
     WithoutImage,
     /// No machine has room.
     Nowhere,
@@ -52,7 +54,7 @@
 }
 
 /// A slot that a job may use, whether or not it has room.
-struct OpenSlot<'a> {
+struct AllowedSlot<'a> {
     index: usize,
     slot: &'a Slot,
     image: ImageState,
@@ -79,12 +81,16 @@
     }
 
     /// Iterates over the slots that the job may use, in the order of their indices.
-    fn open_to<'a>(&'a self, job: &'a Job, zones: &'a Option<Vec<ZoneIx>>) -> impl Iterator<Item = OpenSlot<'a>> {
+    fn slots_allowed_for<'a>(
+        &'a self,
+        job: &'a Job,
+        zones: &'a Option<Vec<ZoneIx>>,
+    ) -> impl Iterator<Item = AllowedSlot<'a>> {
         let image_states = self.image_caches.states(job.image);
         let slots = self.slots.iter().zip(image_states).enumerate();
         slots
-            .map(|(index, (slot, &image))| OpenSlot { index, slot, image })
-            .filter(|OpenSlot { slot, .. }| {
+            .map(|(index, (slot, &image))| AllowedSlot { index, slot, image })
+            .filter(|AllowedSlot { slot, .. }| {
                 slot.is_allowed_by(&job.shape)
                     && zones.as_ref().is_none_or(|zones| zones.contains(&slot.offer.zone))
                     && !job.failed_on.contains(&slot.machine)
@@ -98,23 +104,23 @@
         // The record of full cache holders covers all zones and machines, so it can't be used
         // for a job that is restricted to some of them.
         let has_job_specific_limits = zones.is_some() || !job.failed_on.is_empty();
-        if !has_job_specific_limits && self.image_caches.are_full_for(job) {
-            let mut open = self.open_to(job, zones);
-            let found = open.find(|open| open.slot.has_room(job.shape.resources));
-            return found.map_or(RoomForTask::Nowhere, |open| RoomForTask::CacheHoldersFull {
-                first_slot: open.index,
+        if !has_job_specific_limits && self.image_caches.are_holders_full_for(job) {
+            let mut allowed_slots = self.slots_allowed_for(job, zones);
+            let found = allowed_slots.find(|allowed| allowed.slot.has_room(job.shape.resources));
+            return found.map_or(RoomForTask::Nowhere, |allowed| RoomForTask::CacheHoldersFull {
+                first_slot: allowed.index,
             });
         }
         let (mut first_slot, mut cache_holder_full) = (None, false);
-        for open in self.open_to(job, zones) {
-            match (open.slot.has_room(job.shape.resources), open.image) {
+        for allowed in self.slots_allowed_for(job, zones) {
+            match (allowed.slot.has_room(job.shape.resources), allowed.image) {
                 (true, ImageState::Cached) => return RoomForTask::WithImageCached,
-                (true, ImageState::Missing) => first_slot = first_slot.or(Some(open.index)),
+                (true, ImageState::Missing) => first_slot = first_slot.or(Some(allowed.index)),
                 (false, image) => cache_holder_full |= image == ImageState::Cached,
             }
         }
         if cache_holder_full && !has_job_specific_limits {
-            self.image_caches.note_full_for(job);
+            self.image_caches.note_holders_full_for(job);
         }
         match (first_slot, cache_holder_full) {
             (None, _) => RoomForTask::Nowhere,
@@ -129,11 +135,11 @@
         self.image_caches.ensure_states(job.image, &self.slots, workers);
         let mut scores = Vec::with_capacity(self.slots.len());
         let mut cache_holder_full = false;
-        for open in self.open_to(job, zones) {
-            if open.slot.has_room(job.shape.resources) {
-                scores.push(Score::new(open.index, open.slot, open.image));
+        for allowed in self.slots_allowed_for(job, zones) {
+            if allowed.slot.has_room(job.shape.resources) {
+                scores.push(Score::new(allowed.index, allowed.slot, allowed.image));
             } else {
-                cache_holder_full |= open.image == ImageState::Cached;
+                cache_holder_full |= allowed.image == ImageState::Cached;
             }
         }
         Ranking::new(scores, job.shape.resources, cache_holder_full)
@@ -141,12 +147,12 @@
 
     /// Returns the best slot of a ranking that still has room. Slots that have become full
     /// since they were ranked are dropped from the ranking.
-    pub fn best(&self, ranking: &mut Ranking, image: ImageIx) -> Option<Best> {
+    pub fn best(&self, ranking: &mut Ranking, image: ImageIx) -> Option<BestSlot> {
         loop {
             let slot = ranking.best_slot()?;
             let image = self.image_caches.state(image, slot);
             if self.slots[slot].has_room(ranking.resources) {
-                return Some(Best {
+                return Some(BestSlot {
                     slot,
                     image,
                     cache_holder_full: ranking.cache_holder_full,
@@ -159,7 +165,7 @@
     /// Subtracts a task's resources from a slot's room and records that the machine fetches
     /// the task's image.
     pub fn assign(&mut self, slot: usize, resources: Resources, image: ImageIx) {
-        self.image_caches.add(image, slot);
+        self.image_caches.mark_cached(image, slot);
         self.slots[slot].free.subtract(resources);
     }
 
@@ -171,8 +177,8 @@
             return;
         }
         let may_be_reserved = |slot: &&mut Slot| !slot.reserved && slot.is_allowed_by(shape);
-        let open = self.slots.iter_mut().filter(may_be_reserved);
-        if let Some(slot) = open.max_by(|a, b| a.free.cpus.total_cmp(&b.free.cpus)) {
+        let available = self.slots.iter_mut().filter(may_be_reserved);
+        if let Some(slot) = available.max_by(|a, b| a.free.cpus.total_cmp(&b.free.cpus)) {
             slot.reserved = true;
             self.reserved += 1;
         }
--- a/src/placement/machine_view/ranking.rs
+++ b/src/placement/machine_view/ranking.rs
@@ -111,7 +111,7 @@
 
 /// The best slot for a task, with the data that decides whether to wait instead.
 #[derive(Debug, PartialEq)]
-pub struct Best {
+pub struct BestSlot {
     /// Index of the slot in the view.
     pub slot: usize,
     /// The state of the image on the slot's machine.
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -45,7 +45,7 @@
         let type_name = if large { "large" } else { "small" };
         let ix = self.add_empty_machine(&format!("host-{number}"), type_name, "north", spot);
         let job_image = self.job().image;
-        let machine = self.workers.machines.get_mut(ix).expect("there");
+        let machine = self.workers.machines.get_mut(ix).expect("known machine");
         machine.used.cpus = used;
         if let Some(other) = image {
             machine.touch(ImageIx(job_image.0 + other), 1.0, 50.0);
@@ -62,7 +62,7 @@
     }
 
     fn job(&self) -> &Job {
-        self.jobs.table.get(self.job).expect("there")
+        self.jobs.table.get(self.job).expect("known job")
     }
 
     fn view(&self) -> MachineView {
@@ -90,11 +90,11 @@
         "saleFormat":"array","bidRank":"high","lots":40,"cores":4.0,"cards":0.0,"memGb":8.0,"catalog":"img",
         "pullGb":1.0,"oneZone":false,"scatter":false,"loaner":true,"appraisedS":5.0,"tallyS":0.0,"ledgerS":0.0});
     let key = JobKey {
-        spec: serde_json::from_value(spec).expect("a job"),
+        spec: serde_json::from_value(spec).expect("valid job"),
         accepted_ms: 0,
         ended: None,
     };
-    jobs.add("j-1", &key, 1, topology).expect("a known team")
+    jobs.add("j-1", &key, 1, topology).expect("known team")
 }
 
 /// Reference implementation of Pheromone's Algorithm 1: scans all machines for each task.
@@ -104,7 +104,7 @@
     for (ix, machine) in fixture.workers.machines.iter() {
         let info = fixture.topology.type_info[machine.type_ix.usize()]
             .as_ref()
-            .expect("known");
+            .expect("known machine type");
         let free = info.resources.saturating_sub(machine.used);
         if !machine.usable(0) || !job.shape.allows(machine.offer()) {
             continue;
@@ -123,7 +123,7 @@
     fixture.workers.machines.iter().any(|(_, machine)| {
         let info = fixture.topology.type_info[machine.type_ix.usize()]
             .as_ref()
-            .expect("known");
+            .expect("known machine type");
         let allowed = job.shape.allows(machine.offer());
         allowed && machine.holds(job.image) && !info.resources.saturating_sub(machine.used).fits(job.shape.resources)
     })
@@ -166,7 +166,7 @@
                 (None, _) => RoomForTask::Nowhere,
                 (Some(best), _) if has_image(&best) => RoomForTask::WithImageCached,
                 (Some(_), true) => RoomForTask::CacheHoldersFull {
-                    first_slot: view.slots.iter().position(|slot| slot.has_room(resources)).expect("room"),
+                    first_slot: view.slots.iter().position(|slot| slot.has_room(resources)).expect("a slot with room"),
                 },
                 (Some(_), false) => RoomForTask::WithoutImage,
             };
@@ -178,11 +178,11 @@
             prop_assert!(
                 found.as_ref().is_none_or(|best| best.cache_holder_full == cache_holder_is_full(&fixture))
             );
-            let Some(Best { slot, .. }) = found else {
+            let Some(BestSlot { slot, .. }) = found else {
                 break;
             };
             view.assign(slot, resources, image);
-            let machine = fixture.workers.machines.get_mut(view.machine_at(slot)).expect("there");
+            let machine = fixture.workers.machines.get_mut(view.machine_at(slot)).expect("known machine");
             machine.used.add(resources);
             machine.touch(image, 1.0, 50.0);
         }
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -35,18 +35,18 @@
 }
 
 /// The sort key of a job in the order of placement. Fields are compared in the order of
-/// their declaration, and the smallest key is served first. Jobs with age priority precede
-/// all others.
+/// their declaration, and the smallest key is served first. Jobs with age priority rank above
+/// all others: they count as guaranteed production jobs that can meet their deadlines.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SortKey {
     /// Whether the job exceeds the guarantee of its team.
     beyond_guarantee: bool,
-    /// The highest priority comes first.
+    /// The highest priority is served first.
     priority: Reverse<Priority>,
     /// Whether the job can't meet its deadline anymore. Such jobs come after the others.
     missed_deadline: bool,
     /// The latest start that meets the job's objective or deadline, in milliseconds since
-    /// the Unix epoch.
+    /// the Unix epoch. The earliest is served first.
     start_by_ms: Millis,
 }
 
--- a/src/placement/preemption/mod.rs
+++ b/src/placement/preemption/mod.rs
@@ -12,7 +12,7 @@
 
 use super::Cluster;
 use super::order::placement_order;
-use super::zones::zones_open_to;
+use super::zones::allowed_zones;
 use crate::Millis;
 use crate::ids::{AttemptIx, Index, JobIx};
 use crate::pipeline::Job;
@@ -113,7 +113,7 @@
             team.used.add(job.shape.resources);
             tasks += 1;
         }
-        demands.push(Demand::new(job, tasks, zones_open_to(cluster, job)));
+        demands.push(Demand::new(job, tasks, allowed_zones(cluster, job)));
     }
     demands
 }
--- a/src/placement/preemption/victims/tests.rs
+++ b/src/placement/preemption/victims/tests.rs
@@ -89,9 +89,9 @@
 /// Returns how many of the candidate's victims, counted from the first, have to be stopped for
 /// one more task to fit.
 fn victims_needed(candidate: &Candidate, cpus: u32) -> Option<usize> {
-    let lower = |victim: &&Victim| victim.priority < Priority::High;
-    let below = candidate.victims.iter().filter(lower).count();
-    (0..=below).find(|&count| {
+    let is_lower = |victim: &&Victim| victim.priority < Priority::High;
+    let lower_count = candidate.victims.iter().filter(is_lower).count();
+    (0..=lower_count).find(|&count| {
         let mut free = candidate.free;
         for victim in &candidate.victims[..count] {
             free.add(victim.resources);
@@ -123,11 +123,11 @@
             .iter()
             .position(|c| c.images.contains(&IMAGE) && needed(c).is_some());
         let others = || candidates.iter().position(|c| needed(c).is_some());
-        let Some(place) = holders.or_else(others) else {
+        let Some(index) = holders.or_else(others) else {
             continue;
         };
-        let count = needed(&candidates[place]).unwrap_or(0);
-        let candidate = &mut candidates[place];
+        let count = needed(&candidates[index]).unwrap_or(0);
+        let candidate = &mut candidates[index];
         for victim in candidate.victims.drain(..count) {
             candidate.free.add(victim.resources);
             stops.push(victim.attempt);
@@ -150,7 +150,7 @@
         prop_assert_eq!(&chosen, &choose_task_by_task(candidates.clone(), &wanted));
         let victims: Vec<&Victim> = candidates.iter().flat_map(|candidate| &candidate.victims).collect();
         for attempt in chosen {
-            let victim = victims.iter().find(|victim| victim.attempt == attempt).expect("one of them");
+            let victim = victims.iter().find(|victim| victim.attempt == attempt).expect("known victim");
             prop_assert!(victim.priority < Priority::High);
         }
     }
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -258,7 +258,7 @@
                 *higher_term_requested = true;
                 tracing::info!(
                     job = job.id,
-                    "requesting a higher term: a job waits because an unconfirmed start may still arrive"
+                    "requesting a higher term: an unconfirmed start keeps a job waiting"
                 );
             }
             job.clear_failed_on_after_long_shortage(now);
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -6,7 +6,7 @@
 
 /// Returns the zones in which one more task of the job may run now, given where its open tasks
 /// are. Returns `None` if the job has no such rule and all zones are allowed.
-pub fn zones_open_to(cluster: &Cluster<'_>, job: &Job) -> Option<Vec<ZoneIx>> {
+pub fn allowed_zones(cluster: &Cluster<'_>, job: &Job) -> Option<Vec<ZoneIx>> {
     if !job.zones_depend_on_open_tasks() {
         return None;
     }
