--- a/src/pipeline/job_builder.rs
+++ b/src/pipeline/job_builder.rs
@@ -44,6 +44,7 @@
 struct Schedule {
     due_ms: u64,
     start_by_ms: u64,
+    /// Whether neither an objective of the class nor a deadline sets these times.
     best_effort: bool,
 }
 
--- a/src/placement/machine_view/slot.rs
+++ b/src/placement/machine_view/slot.rs
@@ -8,10 +8,13 @@
 /// A machine that may be given tasks, with the room that is left on it in this round.
 #[derive(Debug)]
 pub struct Slot {
+    /// The machine of this slot.
     pub machine: MachineIx,
+    /// The machine's type and zone, and whether it is a spot machine.
     pub offer: Offer,
     /// The number of CPUs of the machine type, in use or not.
     pub type_cpus: f64,
+    /// The resources that are not in use, also counting tasks placed in this round.
     pub free: Resources,
     /// Whether the round places nothing more here, so that an urgent job finds room later.
     pub reserved: bool,
--- a/src/placement/preemption/candidates.rs
+++ b/src/placement/preemption/candidates.rs
@@ -17,8 +17,11 @@
 /// A running task that may be stopped for one of higher priority.
 #[derive(Clone, Debug)]
 pub struct Victim {
+    /// The attempt to stop.
     pub attempt: AttemptIx,
+    /// The priority of the task's job.
     pub priority: Priority,
+    /// The resources that stopping the task frees.
     pub resources: Resources,
     /// The work lost by stopping the task, in CPU seconds.
     pub loss: f64,
@@ -27,7 +30,9 @@
 /// A machine on which tasks may be stopped or are being stopped.
 #[derive(Clone, Debug)]
 pub struct Candidate {
+    /// The machine itself.
     pub machine: MachineIx,
+    /// The machine's type and zone, and whether it is a spot machine.
     pub offer: Offer,
     /// The images that the machine has cached or is fetching.
     pub images: Vec<ImageIx>,
--- a/src/placement/preemption/demand.rs
+++ b/src/placement/preemption/demand.rs
@@ -10,8 +10,11 @@
 /// The tasks of one job that need room. They all have the same shape.
 #[derive(Debug)]
 pub struct Demand {
+    /// What each task requires of a machine.
     pub(super) shape: Shape,
+    /// The priority of the job. Only tasks of lower priority are stopped for it.
     pub(super) priority: Priority,
+    /// The image that the tasks run in.
     pub(super) image: ImageIx,
     /// The machines that the job avoids, because its tasks failed there.
     pub(super) failed_on: Vec<MachineIx>,
