--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -4,7 +4,7 @@
 use super::Shard;
 use crate::Millis;
 use crate::ids::{AttemptIx, ChunkId, Index, JobIx};
-use crate::pipeline::{Job, error_pause};
+use crate::pipeline::{Job, failure_backoff};
 use crate::resources::Resources;
 use crate::wire::JobState;
 use crate::workers::{Attempt, Outcome};
@@ -57,7 +57,7 @@
             }
             return;
         }
-        let number = job.chunk_of(attempt.task, self.jobs.chunk_tasks);
+        let number = job.chunk_index_of(attempt.task, self.jobs.tasks_per_chunk);
         if let Some(chunk) = job.chunks.get_mut(number) {
             chunk.mark_changed();
         }
@@ -114,14 +114,14 @@
 fn note_outcome_in_job(now: Millis, job: &mut Job, attempt: &Attempt, outcome: Outcome) {
     match outcome {
         Outcome::Done => {
-            job.errors = 0;
+            job.consecutive_failures = 0;
             job.failed_on.clear();
             job.done.insert(attempt.task);
         }
         Outcome::Error => {
             avoid_machine(job, attempt);
-            let pause = if job.is_likely_mistaken() {
-                error_pause(job.errors)
+            let pause = if job.is_likely_misconfigured() {
+                failure_backoff(job.consecutive_failures)
             } else {
                 0
             };
--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -5,7 +5,7 @@
 use super::{Committed, PendingWrites, WriteContext};
 use crate::Millis;
 use crate::ids::ChunkId;
-use crate::pipeline::{ChunkValue, Job, OpenRecord};
+use crate::pipeline::{ChunkValue, Job, OpenAttemptRecord};
 use crate::wire::Change;
 use crate::workers::{Attempts, CommittedRecord, Workers};
 use serde_json::json;
@@ -29,7 +29,7 @@
         let is_due = |id: &ChunkId| {
             let job = context.jobs.table.get(id.job);
             let chunk = job.and_then(|job| job.chunks.get(id.number as usize));
-            chunk.is_none_or(|chunk| now >= chunk.built_at() + REWRITE_MS)
+            chunk.is_none_or(|chunk| now >= chunk.last_write_built_at() + REWRITE_MS)
         };
         let due = self.deferrable_chunks.iter().copied().filter(is_due).collect();
         self.add_chunks(now, due, context, draft);
@@ -54,7 +54,7 @@
                 job.chunks[id.number as usize].discard_changes();
                 continue;
             }
-            let tasks = job.tasks_of_chunk(id.number, context.jobs.chunk_tasks);
+            let tasks = job.tasks_of_chunk(id.number, context.jobs.tasks_per_chunk);
             let value = chunk_value(job, id.number, tasks.clone(), context.workers);
             let bytes = CHUNK_BYTES + value.done.len() + value.open.len() * OPEN_ATTEMPT_BYTES;
             // A single chunk always fits an otherwise empty transaction.
@@ -80,7 +80,7 @@
                 continue;
             };
             job.chunks[id.number as usize].write_committed(revision);
-            let tasks = job.tasks_of_chunk(id.number, context.jobs.chunk_tasks);
+            let tasks = job.tasks_of_chunk(id.number, context.jobs.tasks_per_chunk);
             attempts_committed(job, tasks, &mut context.workers.attempts, effects);
         }
     }
@@ -102,7 +102,7 @@
 }
 
 fn chunk_value(job: &Job, number: u32, tasks: Range<u32>, workers: &Workers) -> ChunkValue {
-    let mut open: Vec<OpenRecord> = Vec::new();
+    let mut open: Vec<OpenAttemptRecord> = Vec::new();
     for (&task, &attempt) in job.open.range(tasks.clone()) {
         let Some(attempt) = workers.attempts.get(attempt) else {
             continue;
@@ -111,7 +111,7 @@
             continue;
         };
         if !attempt.record.is_withdrawn() {
-            open.push(OpenRecord {
+            open.push(OpenAttemptRecord {
                 task,
                 attempt: attempt.number,
                 machine: machine.name.clone(),
@@ -120,8 +120,8 @@
         }
     }
     ChunkValue {
-        next: job.chunks[number as usize].next,
-        done: job.done.text(tasks),
+        next_attempt: job.chunks[number as usize].next_attempt,
+        done: job.done.format_ranges(tasks),
         open,
     }
 }
--- a/src/pipeline/job_builder.rs
+++ b/src/pipeline/job_builder.rs
@@ -1,6 +1,6 @@
-//! Makes a [`Job`] of the value of its key.
+//! Builds a [`Job`] from the value of its key.
 
-use super::{BySet, Chunk, Job, TaskSet};
+use super::{Chunk, DependencyTrigger, Job, TaskSet};
 use crate::Millis;
 use crate::ids::{ClassIx, ImageIx, Interner, TeamIx};
 use crate::resources::{Resources, Shape};
@@ -10,50 +10,54 @@
 use std::collections::{BTreeMap, VecDeque};
 use thiserror::Error;
 
-/// When a job without an objective or a deadline is taken to be due: in order of
-/// arrival behind those soon due.
+/// The time from acceptance after which a job without an objective or a deadline is treated as
+/// due. Such jobs are ordered by arrival, behind the jobs that are due soon.
 const DUE_WITHOUT_OBJECTIVE_MS: Millis = 600_000;
 
-/// Why a job can't be taken into the shard.
+/// Why a job can't be added to the shard.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum JobError {
     /// The settings have no team of this name.
     #[error("the team `{team}` is unknown")]
     UnknownTeam {
-        /// The name that the job gives.
+        /// The team name in the job's specification.
         team: String,
     },
 }
 
-/// The names and objectives by which jobs are put into indices.
+/// Builds jobs: resolves names to indices and computes due times from objectives.
 pub(super) struct JobBuilder<'a> {
     pub teams: &'a Interner<TeamIx>,
     pub topology: &'a mut Topology,
     pub images: &'a mut Interner<ImageIx>,
     pub classes: &'a mut Interner<ClassIx>,
-    /// In which time jobs of a class should be complete.
-    pub due: &'a BTreeMap<String, Millis>,
-    /// In which time their tasks should be started.
+    /// For each class, the time from acceptance within which jobs should be complete, in
+    /// milliseconds.
+    pub finish_within: &'a BTreeMap<String, Millis>,
+    /// For each class, the time from acceptance within which tasks should start, in
+    /// milliseconds.
     pub start_within: &'a BTreeMap<String, Millis>,
 }
 
-/// When a job should be complete, and when its tasks have to start for that.
+/// When a job should be complete and when its tasks have to start to achieve that, in
+/// milliseconds since the Unix epoch.
 struct Schedule {
     due_ms: u64,
     start_by_ms: u64,
+    /// Whether neither an objective of the class nor a deadline sets these times.
     best_effort: bool,
 }
 
 impl JobBuilder<'_> {
-    /// The job of a key that has this version, with none of its tasks open or done.
-    pub fn build(&mut self, key: &JobKey, version: u64, chunk_tasks: u32) -> Result<Job, JobError> {
+    /// Builds the job of a key with this version. None of its tasks is open or done yet.
+    pub fn build(&mut self, key: &JobKey, version: u64, tasks_per_chunk: u32) -> Result<Job, JobError> {
         let spec = key.spec.clone();
         let Some(team) = self.teams.get(&spec.team) else {
             return Err(JobError::UnknownTeam { team: spec.team });
         };
         let shape = self.shape(&spec);
         let schedule = self.schedule(&spec, key.accepted_ms);
-        let chunks = spec.tasks.div_ceil(chunk_tasks) as usize;
+        let chunks = spec.tasks.div_ceil(tasks_per_chunk) as usize;
         Ok(Job {
             id: spec.id.clone(),
             team,
@@ -67,21 +71,22 @@
             last_start_ms: 0,
             key_version: version,
             ended: key.ended,
-            // Jobs have no upstream today: an empty set fires at once.
-            trigger: BySet::new([]),
+            // Jobs can't depend on other jobs yet: an empty set fires at once.
+            trigger: DependencyTrigger::new([]),
             chunks: vec![Chunk::new(); chunks],
             done: TaskSet::new(spec.tasks),
             open: BTreeMap::new(),
-            fresh: 0,
-            retry: VecDeque::new(),
+            first_unvisited_task: 0,
+            retry_queue: VecDeque::new(),
             waiting_until: None,
-            short_since: None,
-            errors: 0,
+            shortage_since: None,
+            consecutive_failures: 0,
             failed_on: Vec::new(),
             spec,
         })
     }
 
+    /// Returns the shape of the job's tasks, with machine types and zone as indices.
     fn shape(&mut self, spec: &JobSpec) -> Shape {
         let types = spec.types.as_ref();
         Shape {
@@ -96,10 +101,12 @@
         }
     }
 
+    /// Computes the due time and the latest start from the objectives of the job's class and
+    /// its own deadline. The earlier of two due times or starts applies.
     fn schedule(&self, spec: &JobSpec, accepted_ms: u64) -> Schedule {
-        let class_due = self.due.get(&spec.class).copied();
-        let own_due = spec.deadline_s.map(crate::millis);
-        let within = class_due.into_iter().chain(own_due).min();
+        let class_finish_within = self.finish_within.get(&spec.class).copied();
+        let deadline = spec.deadline_s.map(crate::millis);
+        let within = class_finish_within.into_iter().chain(deadline).min();
         let due_ms = accepted_ms + within.unwrap_or(DUE_WITHOUT_OBJECTIVE_MS);
         let start_within = self.start_within.get(&spec.class);
         if within.is_none() && start_within.is_none() {
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-/// Machines of two types, and one job of 40 tasks.
+/// A cluster with machines of two types and one job of 40 tasks.
 struct Fixture {
     topology: Topology,
     workers: Workers,
@@ -17,7 +17,8 @@
     job: JobIx,
 }
 
-/// A machine: its size, how it is rented, its CPUs in use, and the image it has.
+/// Whether the machine is large, whether it is a spot machine, its CPUs in use, and the image
+/// it has cached as an offset from the job's image.
 type MachineState = (bool, bool, f64, Option<u32>);
 
 impl Fixture {
@@ -44,7 +45,7 @@
         let type_name = if large { "large" } else { "small" };
         let ix = self.add_empty_machine(&format!("host-{number}"), type_name, "north", spot);
         let job_image = self.job().image;
-        let machine = self.workers.machines.get_mut(ix).expect("there");
+        let machine = self.workers.machines.get_mut(ix).expect("known machine");
         machine.used.cpus = used;
         if let Some(other) = image {
             machine.touch(ImageIx(job_image.0 + other), 1.0, 50.0);
@@ -61,7 +62,7 @@
     }
 
     fn job(&self) -> &Job {
-        self.jobs.table.get(self.job).expect("there")
+        self.jobs.table.get(self.job).expect("known job")
     }
 
     fn view(&self) -> MachineView {
@@ -89,21 +90,21 @@
         "saleFormat":"array","bidRank":"high","lots":40,"cores":4.0,"cards":0.0,"memGb":8.0,"catalog":"img",
         "pullGb":1.0,"oneZone":false,"scatter":false,"loaner":true,"appraisedS":5.0,"tallyS":0.0,"ledgerS":0.0});
     let key = JobKey {
-        spec: serde_json::from_value(spec).expect("a job"),
+        spec: serde_json::from_value(spec).expect("valid job"),
         accepted_ms: 0,
         ended: None,
     };
-    jobs.add("j-1", &key, 1, topology).expect("a known team")
+    jobs.add("j-1", &key, 1, topology).expect("known team")
 }
 
-/// Pheromone's Algorithm 1 as the plain scan of all machines states it.
-fn plain_scan(fixture: &Fixture) -> Option<MachineIx> {
+/// Reference implementation of Pheromone's Algorithm 1: scans all machines for each task.
+fn scan_all_machines(fixture: &Fixture) -> Option<MachineIx> {
     let job = fixture.job();
     let mut best: Option<((bool, bool, f64, f64), MachineIx)> = None;
     for (ix, machine) in fixture.workers.machines.iter() {
         let info = fixture.topology.type_info[machine.type_ix.usize()]
             .as_ref()
-            .expect("known");
+            .expect("known machine type");
         let free = info.resources.saturating_sub(machine.used);
         if !machine.usable(0) || !job.shape.allows(machine.offer()) {
             continue;
@@ -116,22 +117,22 @@
     best.map(|(_, ix)| ix)
 }
 
-/// A machine that the job may use holds its image and has no room for its task.
+/// Whether a machine that the job may use has its image cached but no room for its tasks.
 fn cache_holder_is_full(fixture: &Fixture) -> bool {
     let job = fixture.job();
     fixture.workers.machines.iter().any(|(_, machine)| {
         let info = fixture.topology.type_info[machine.type_ix.usize()]
             .as_ref()
-            .expect("known");
+            .expect("known machine type");
         let allowed = job.shape.allows(machine.offer());
         allowed && machine.holds(job.image) && !info.resources.saturating_sub(machine.used).fits(job.shape.resources)
     })
 }
 
-/// Guards against a job bound to a zone that waits there for a full machine of
-/// another, because jobs bound to none found that all holders are full.
+/// Guards against a job restricted to one zone that waits for a full cache holder in another
+/// zone, because the view recorded for unrestricted jobs that all cache holders are full.
 #[test]
-fn full_holders_elsewhere_keep_no_job_of_a_zone_waiting() {
+fn full_cache_holders_in_other_zones_do_not_delay_a_zone_restricted_job() {
     let mut fixture = Fixture::new(&[(false, true, 8.0, Some(0))]);
     fixture.add_empty_machine("host-south", "small", "south", true);
     let south = fixture.topology.zones.intern("south");
@@ -144,9 +145,10 @@
 }
 
 proptest! {
-    /// One ranking serves all tasks that are placed one after the other.
+    /// One ranking is valid for all tasks that are placed consecutively. Guards against a
+    /// stale ranking that chooses another machine than a new scan would.
     #[test]
-    fn the_view_chooses_what_the_plain_scan_chooses(
+    fn one_ranking_chooses_the_same_machines_as_a_scan_for_each_task(
         machines in proptest::collection::vec(
             (any::<bool>(), any::<bool>(), 0.0f64..16.0, proptest::option::of(0u32..2)), 1..30
         ),
@@ -157,18 +159,18 @@
         let mut ranking = view.rank(&fixture.workers, fixture.job(), &None);
         for _ in 0..tasks {
             let (workers, job) = (&fixture.workers, fixture.job());
-            let expected = plain_scan(&fixture);
+            let expected = scan_all_machines(&fixture);
             let (resources, image) = (job.shape.resources, job.image);
             let has_image = |best: &MachineIx| workers.machines.get(*best).is_some_and(|machine| machine.holds(image));
             let room = match (expected, cache_holder_is_full(&fixture)) {
                 (None, _) => RoomForTask::Nowhere,
                 (Some(best), _) if has_image(&best) => RoomForTask::WithImageCached,
                 (Some(_), true) => RoomForTask::CacheHoldersFull {
-                    first_slot: view.slots.iter().position(|slot| slot.has_room(resources)).expect("room"),
+                    first_slot: view.slots.iter().position(|slot| slot.has_room(resources)).expect("a slot with room"),
                 },
                 (Some(_), false) => RoomForTask::WithoutImage,
             };
-            // The second look may know more than the first.
+            // The second call may use what the first one recorded.
             prop_assert_eq!(view.room_for(workers, job, &None), room);
             prop_assert_eq!(view.room_for(workers, job, &None), room);
             let found = view.best(&mut ranking, image);
@@ -176,11 +178,11 @@
             prop_assert!(
                 found.as_ref().is_none_or(|best| best.cache_holder_full == cache_holder_is_full(&fixture))
             );
-            let Some(Best { slot, .. }) = found else {
+            let Some(BestSlot { slot, .. }) = found else {
                 break;
             };
             view.assign(slot, resources, image);
-            let machine = fixture.workers.machines.get_mut(view.machine_at(slot)).expect("there");
+            let machine = fixture.workers.machines.get_mut(view.machine_at(slot)).expect("known machine");
             machine.used.add(resources);
             machine.touch(image, 1.0, 50.0);
         }
