--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -6,7 +6,7 @@
 use crate::peers::{JobTaskCounts, Message};
 use crate::pipeline::TaskCounts;
 use crate::wire::{Report, ReportAnswer};
-use crate::workers::{Merged, ReportPath};
+use crate::workers::{MergeOutcome, ReportPath};
 
 /// Jobs whose counts are told, so that the message stays well within a frame.
 const MAX_COUNTS: usize = 20_000;
@@ -80,7 +80,7 @@
     }
 
     /// Merges a report as the leader. `None`: it was not the leader's to take.
-    pub(super) fn merge_worker_report(&mut self, report: &Report, path: ReportPath) -> Option<Merged> {
+    pub(super) fn merge_worker_report(&mut self, report: &Report, path: ReportPath) -> Option<MergeOutcome> {
         let now = self.now;
         if !self.election.is_acting_leader(now) {
             return None;
@@ -88,7 +88,7 @@
         let shard = self.shard.as_mut()?;
         let merged = shard.merge_report(now, report, path);
         match merged {
-            Merged::Newest(ix) => {
+            MergeOutcome::Newest(ix) => {
                 self.leader_timers.worker_heard(now);
                 let machine = shard.workers.machines.get(ix);
                 if machine
@@ -97,7 +97,7 @@
                     shard.workers.delivery_due.insert(ix);
                 }
             }
-            Merged::Outranked => {
+            MergeOutcome::Outranked => {
                 // Somebody claimed after us, whatever our lease says.
                 tracing::warn!(
                     fencing_token = report.fencing_token,
@@ -107,7 +107,7 @@
                 self.step_down(OUTRANKED_CLAIM_DELAY_MS);
                 self.watch_cache.restart();
             }
-            Merged::Stale | Merged::MachineDeleted => {}
+            MergeOutcome::Stale | MergeOutcome::MachineDeleted => {}
         }
         Some(merged)
     }
@@ -118,15 +118,15 @@
         let merged = self.merge_worker_report(report, ReportPath::Heartbeat)?;
         let (now, fencing_token) = (self.now, self.election.term());
         let shard = self.shard.as_mut()?;
-        if let Merged::Newest(ix) = merged
+        if let MergeOutcome::Newest(ix) = merged
             && let Some(machine) = shard.workers.machines.get_mut(ix)
             && machine.relayed_by.as_deref() != relayed_by
         {
             machine.relayed_by = relayed_by.map(str::to_owned);
         }
         let commands = match merged {
-            Merged::Newest(ix) => shard.answer_commands(now, ix),
-            Merged::Stale => {
+            MergeOutcome::Newest(ix) => shard.answer_commands(now, ix),
+            MergeOutcome::Stale => {
                 if let Some(machine) = shard
                     .workers
                     .machines
@@ -137,7 +137,7 @@
                 }
                 Vec::new()
             }
-            Merged::Outranked | Merged::MachineDeleted => return None,
+            MergeOutcome::Outranked | MergeOutcome::MachineDeleted => return None,
         };
         Some(ReportAnswer {
             fencing_token,
--- a/src/controller/shard/reports.rs
+++ b/src/controller/shard/reports.rs
@@ -5,11 +5,11 @@
 use crate::Millis;
 use crate::ids::MachineIx;
 use crate::wire::{Command, Report};
-use crate::workers::{Merged, MergedReport, ReceivedReport, ReportPath};
+use crate::workers::{MergeOutcome, MergedReport, ReceivedReport, ReportPath};
 
 impl Shard {
     /// Merges a report, whether it came by itself or answered direct commands.
-    pub fn merge_report(&mut self, now: Millis, report: &Report, path: ReportPath) -> Merged {
+    pub fn merge_report(&mut self, now: Millis, report: &Report, path: ReportPath) -> MergeOutcome {
         if let Some(rejected) = self.workers.reject_report(report, self.term) {
             return rejected;
         }
@@ -33,7 +33,7 @@
     }
 
     /// Applies what follows from a report for jobs, teams and the inventory.
-    fn apply_report(&mut self, now: Millis, merged: MergedReport) -> Merged {
+    fn apply_report(&mut self, now: Millis, merged: MergedReport) -> MergeOutcome {
         self.fleet.inventory.address_changed(merged.group_to_rewrite);
         for ended in merged.ended {
             self.close(now, ended.attempt, ended.outcome);
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -5,7 +5,7 @@
 use crate::controller::Shard;
 use crate::store::Keys;
 use crate::wire::{Change, Command, Condition, ExitReason, Report, TaskState};
-use crate::workers::{Merged, ReportPath};
+use crate::workers::{MergeOutcome, ReportPath};
 
 const MINUTE: Millis = 60_000;
 
@@ -79,11 +79,11 @@
         ReportPath::Heartbeat,
     );
     let old = report(1, 4, 5, vec![task(TaskState::Exited, Some(ExitReason::Done))]);
-    assert_eq!(shard.merge_report(20, &old, ReportPath::Heartbeat), Merged::Stale);
+    assert_eq!(shard.merge_report(20, &old, ReportPath::Heartbeat), MergeOutcome::Stale);
     assert_eq!(open(&shard), 1);
     assert_eq!(
         shard.merge_report(20, &report(1, 9, 7, Vec::new()), ReportPath::Heartbeat),
-        Merged::Outranked
+        MergeOutcome::Outranked
     );
     shard.merge_report(30, &report(2, 1, 5, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(open(&shard), 0);
--- a/src/controller/worker_reports.rs
+++ b/src/controller/worker_reports.rs
@@ -3,7 +3,7 @@
 use super::{Controller, Output, SHARD};
 use crate::peers::{Answer, Message, RelayedReport, RelayedReportReply, ReportReply};
 use crate::wire::{Redirect, Report};
-use crate::workers::{Merged, ReportPath};
+use crate::workers::{MergeOutcome, ReportPath};
 
 /// Reports or replies in one message, so that frames stay small.
 const BATCH: usize = 64;
@@ -31,7 +31,7 @@
             && self.redirects.should_redirect(self.now, &report.machine)
         {
             return match self.merge_worker_report(report, ReportPath::Heartbeat) {
-                Some(Merged::Newest(_) | Merged::Stale) => ReportReply::Redirected(Some(node)),
+                Some(MergeOutcome::Newest(_) | MergeOutcome::Stale) => ReportReply::Redirected(Some(node)),
                 _ => ReportReply::Redirected(None),
             };
         }
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -1,7 +1,8 @@
 //! Merging a report into what is known of its machine and of the attempts there.
 
 use super::{
-    Attempts, MISSED_ANSWERS_TO_CORDON, Machine, Merged, MergedReport, ReceivedReport, ReportPath, Workers, split_task,
+    Attempts, MISSED_ANSWERS_TO_CORDON, Machine, MergeOutcome, MergedReport, ReceivedReport, ReportPath, Workers,
+    split_task,
 };
 use crate::Millis;
 use crate::ids::{AttemptIx, MachineIx};
@@ -17,23 +18,23 @@
 
 impl Workers {
     /// Why a report is rejected before anything is learned from it; `None` if it is not.
-    pub fn reject_report(&self, report: &Report, term: u64) -> Option<Merged> {
+    pub fn reject_report(&self, report: &Report, term: u64) -> Option<MergeOutcome> {
         if report.fencing_token > term {
-            return Some(Merged::Outranked);
+            return Some(MergeOutcome::Outranked);
         }
         self.was_deleted_lately(&report.machine)
-            .then_some(Merged::MachineDeleted)
+            .then_some(MergeOutcome::MachineDeleted)
     }
 
     /// Merges a report of a known machine that was not rejected.
     pub fn merge_report(&mut self, ix: MachineIx, received: ReceivedReport<'_>, jobs: &Jobs) -> MergedReport {
         let Some(machine) = self.machines.get_mut(ix) else {
-            return MergedReport::new(Merged::MachineDeleted);
+            return MergedReport::new(MergeOutcome::MachineDeleted);
         };
         if !machine.is_newer(received.report) {
-            return MergedReport::new(Merged::Stale);
+            return MergedReport::new(MergeOutcome::Stale);
         }
-        let mut merged = MergedReport::new(Merged::Newest(ix));
+        let mut merged = MergedReport::new(MergeOutcome::Newest(ix));
         merged.group_to_rewrite = machine.set_address(&received.report.address);
         self.note_machine(ix, received);
         let listed = self.match_tasks(ix, received, jobs, &mut merged);
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -36,5 +36,5 @@
 #[cfg(test)]
 pub(crate) use merge::MANY_ENDED;
 pub use registry::Workers;
-pub use report::{Merged, MergedReport, ReceivedReport, ReportPath};
+pub use report::{MergeOutcome, MergedReport, ReceivedReport, ReportPath};
 pub use task_name::{split_task, task_name};
--- a/src/workers/report.rs
+++ b/src/workers/report.rs
@@ -36,7 +36,7 @@
 
 /// What became of a report.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Merged {
+pub enum MergeOutcome {
     /// The newest of its machine.
     Newest(MachineIx),
     /// Older than one already merged: its task list means nothing now.
@@ -51,7 +51,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct MergedReport {
     /// What became of the report.
-    pub outcome: Merged,
+    pub outcome: MergeOutcome,
     /// The inventory group whose key lacks the machine's new address.
     pub group_to_rewrite: Option<GroupIx>,
     /// Attempts that it proves over, to be closed in this order.
@@ -62,7 +62,7 @@
 
 impl MergedReport {
     /// Nothing follows from the report yet.
-    pub(super) fn new(outcome: Merged) -> MergedReport {
+    pub(super) fn new(outcome: MergeOutcome) -> MergedReport {
         MergedReport {
             outcome,
             group_to_rewrite: None,
