--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -97,7 +97,7 @@
                     shard.workers.delivery_due.insert(ix);
                 }
             }
-            MergeOutcome::Outranked => {
+            MergeOutcome::HigherFencingToken => {
                 // Somebody claimed after us, whatever our lease says.
                 tracing::warn!(
                     fencing_token = report.fencing_token,
@@ -137,7 +137,7 @@
                 }
                 Vec::new()
             }
-            MergeOutcome::Outranked | MergeOutcome::MachineDeleted => return None,
+            MergeOutcome::HigherFencingToken | MergeOutcome::MachineDeleted => return None,
         };
         Some(ReportAnswer {
             fencing_token,
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -83,7 +83,7 @@
     assert_eq!(open(&shard), 1);
     assert_eq!(
         shard.merge_report(20, &report(1, 9, 7, Vec::new()), ReportPath::Heartbeat),
-        MergeOutcome::Outranked
+        MergeOutcome::HigherFencingToken
     );
     shard.merge_report(30, &report(2, 1, 5, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(open(&shard), 0);
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -20,7 +20,7 @@
     /// Why a report is rejected before anything is learned from it; `None` if it is not.
     pub fn reject_report(&self, report: &Report, term: u64) -> Option<MergeOutcome> {
         if report.fencing_token > term {
-            return Some(MergeOutcome::Outranked);
+            return Some(MergeOutcome::HigherFencingToken);
         }
         self.was_deleted_lately(&report.machine)
             .then_some(MergeOutcome::MachineDeleted)
--- a/src/workers/report.rs
+++ b/src/workers/report.rs
@@ -42,7 +42,7 @@
     /// Older than one already merged: its task list means nothing now.
     Stale,
     /// Its worker has seen a fencing token above ours: somebody else is the leader.
-    Outranked,
+    HigherFencingToken,
     /// From a machine already deleted.
     MachineDeleted,
 }
