--- a/src/controller/shard/tests/attribution.rs
+++ b/src/controller/shard/tests/attribution.rs
@@ -64,7 +64,7 @@
             .workers
             .machines
             .iter()
-            .filter(|(_, machine)| machine.is_sick())
+            .filter(|(_, machine)| machine.is_unhealthy())
             .count();
         assert_eq!(sick, 0, "in round {round}");
     }
@@ -84,12 +84,12 @@
     let jobs = shard.jobs.table.indices();
     for (count, &job) in jobs.iter().enumerate().take(FAILING_JOBS) {
         assert!(
-            !shard.workers.machines.get(FIRST_MACHINE).expect("there").is_sick(),
+            !shard.workers.machines.get(FIRST_MACHINE).expect("there").is_unhealthy(),
             "after {count}"
         );
         fail(&mut shard, count as Millis * 10_000, job, FIRST_MACHINE);
     }
-    assert!(shard.workers.machines.get(FIRST_MACHINE).expect("there").is_sick());
+    assert!(shard.workers.machines.get(FIRST_MACHINE).expect("there").is_unhealthy());
     assert!(!shard.jobs.table.get(jobs[0]).expect("there").is_likely_mistaken());
 }
 
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -75,7 +75,7 @@
             Failure::BootFailed => {
                 status.boot_has_failed() && status.no_sign_for(status.silence_ms) && status.lease_has_expired()
             }
-            Failure::FailsTasks => machine.is_sick() && !status.fleet.most_fail_tasks,
+            Failure::FailsTasks => machine.is_unhealthy() && !status.fleet.most_fail_tasks,
             Failure::Reclaimed => machine
                 .spot_reclaim_at
                 .is_some_and(|at| status.now + RECLAIM_MARGIN_MS > at || machine.open.is_empty()),
@@ -205,7 +205,7 @@
         let unresponsive = signs.iter().filter(|sign| context.now > sign.at + silence_ms);
         let machines = || context.workers.machines.iter().map(|(_, machine)| machine);
         let unreachable = machines().filter(|machine| is_unreachable(machine)).count();
-        let fail_tasks = machines().filter(|machine| machine.is_sick()).count();
+        let fail_tasks = machines().filter(|machine| machine.is_unhealthy()).count();
         FleetStatus {
             unresponsive: unresponsive.map(|sign| sign.machine).collect(),
             most_unreachable: is_most(unreachable, signs.len()),
--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -39,7 +39,7 @@
     }
 
     /// So many failures that the machine is most likely at fault.
-    fn is_sick(&self) -> bool {
+    fn is_unhealthy(&self) -> bool {
         let failing_jobs = if self.proven > 0 {
             FAILING_JOBS_ONE_PROVEN
         } else {
@@ -66,8 +66,8 @@
 
 impl Machine {
     /// Whether it fails what it is given.
-    pub fn is_sick(&self) -> bool {
-        self.failures.is_sick()
+    pub fn is_unhealthy(&self) -> bool {
+        self.failures.is_unhealthy()
     }
 
     /// Takes what the end of an attempt says of the machine; a failure is attributed by
