--- a/src/fleet/boot.rs
+++ b/src/fleet/boot.rs
@@ -24,7 +24,7 @@
         let workers = context.workers;
         let boot_s = context.topology.boot_s(machine.type_ix);
         let due_ms = crate::millis(boot_s * OVERDUE_BOOTS + workers.longest_report_interval_s());
-        machine.last_sign().is_none()
+        machine.last_known_up_at().is_none()
             && context.now > machine.requested_at + due_ms
             && context.now > workers.hearing_since + FIRST_SIGN_MS
             && !self.silent_zones.contains(&machine.zone)
@@ -35,7 +35,7 @@
     pub(crate) fn overdue_offers(&self, context: &FleetContext<'_>) -> BTreeSet<Offer> {
         let mut counts: BTreeMap<Offer, BootCounts> = BTreeMap::new();
         for (_, machine) in context.workers.machines.iter() {
-            if machine.last_sign().is_none() && !machine.decommissioned {
+            if machine.last_known_up_at().is_none() && !machine.decommissioned {
                 let of_offer = counts.entry(machine.offer()).or_default();
                 of_offer.booting += 1;
                 of_offer.overdue += usize::from(self.is_boot_overdue(context, machine));
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -119,7 +119,7 @@
 
     fn boot_has_failed(&self) -> bool {
         let boot_ms = crate::millis(self.boot_s * BOOT_PATIENCE) + FIRST_SIGN_MS;
-        self.machine.last_sign().is_none() && self.now > self.machine.requested_at + boot_ms
+        self.machine.last_known_up_at().is_none() && self.now > self.machine.requested_at + boot_ms
     }
 }
 
@@ -183,7 +183,7 @@
         machine: &'a Machine,
     ) -> MachineStatus<'a> {
         let workers = context.workers;
-        let last_sign = machine.last_sign().unwrap_or(machine.requested_at);
+        let last_known_up_at = machine.last_known_up_at().unwrap_or(machine.requested_at);
         MachineStatus {
             now: context.now,
             machine,
@@ -194,7 +194,7 @@
             report_interval_ms: crate::millis(workers.longest_report_interval_s()),
             lease_expiry_ms: workers.lease_expiry_ms,
             boot_s: context.topology.boot_s(machine.type_ix),
-            no_sign_since: last_sign.max(workers.hearing_since),
+            no_sign_since: last_known_up_at.max(workers.hearing_since),
         }
     }
 }
@@ -223,7 +223,7 @@
             Some(LastSign {
                 machine: ix,
                 zone: machine.zone,
-                at: machine.last_sign()?.max(hearing_since),
+                at: machine.last_known_up_at()?.max(hearing_since),
             })
         })
         .collect()
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -146,7 +146,7 @@
     }
 
     /// When it was last known to be up, in this term or before.
-    pub fn last_sign(&self) -> Option<Millis> {
+    pub fn last_known_up_at(&self) -> Option<Millis> {
         self.heard_at.or(self.known_up_at)
     }
 
