--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -48,7 +48,7 @@
         shard.wall_clock = self.wall_clock;
         let was_absent = self.leader_timers.note_acting(self.now);
         if was_absent {
-            shard.workers.hearing_since = self.now;
+            shard.workers.receiving_reports_since = self.now;
         }
         if self.leader_timers.take_maintenance_due(self.now) {
             shard.close_expired(self.now);
--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -98,7 +98,7 @@
         shard.workers.machines.get_mut(ix).expect("there").heard_at = heard_at;
     }
     let silent_ms = crate::millis(shard.policy.silent_reports * shard.workers.report_s * 1.25);
-    shard.workers.hearing_since = 300_000;
+    shard.workers.receiving_reports_since = 300_000;
     shard.decommission_failed(300_000 + silent_ms);
     assert!(
         shard
@@ -171,9 +171,9 @@
     let ix = shard.workers.machines.find("host-north-0").expect("known");
     let late = |shard: &mut Shard| is_boot_overdue(shard, 40_000, ix);
     assert!(late(&mut shard));
-    shard.workers.hearing_since = 35_000;
+    shard.workers.receiving_reports_since = 35_000;
     assert!(!late(&mut shard), "this leader has not heard for long enough to tell");
-    shard.workers.hearing_since = 0;
+    shard.workers.receiving_reports_since = 0;
     shard
         .fleet
         .silent_zones
--- a/src/fleet/boot.rs
+++ b/src/fleet/boot.rs
@@ -26,7 +26,7 @@
         let due_ms = crate::millis(boot_s * OVERDUE_BOOTS + workers.longest_report_interval_s());
         machine.last_known_up_at().is_none()
             && context.now > machine.requested_at + due_ms
-            && context.now > workers.hearing_since + FIRST_SIGN_MS
+            && context.now > workers.receiving_reports_since + FIRST_SIGN_MS
             && !self.silent_zones.contains(&machine.zone)
     }
 
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -194,7 +194,7 @@
             report_interval_ms: crate::millis(workers.longest_report_interval_s()),
             lease_expiry_ms: workers.lease_expiry_ms,
             boot_s: context.topology.boot_s(machine.type_ix),
-            no_sign_since: last_known_up_at.max(workers.hearing_since),
+            no_sign_since: last_known_up_at.max(workers.receiving_reports_since),
         }
     }
 }
@@ -216,14 +216,14 @@
 
 /// Of the machines that were ever known to be up.
 fn last_signs(context: &FleetContext<'_>) -> Vec<LastSign> {
-    let hearing_since = context.workers.hearing_since;
+    let receiving_reports_since = context.workers.receiving_reports_since;
     let machines = context.workers.machines.iter();
     machines
         .filter_map(|(ix, machine)| {
             Some(LastSign {
                 machine: ix,
                 zone: machine.zone,
-                at: machine.last_known_up_at()?.max(hearing_since),
+                at: machine.last_known_up_at()?.max(receiving_reports_since),
             })
         })
         .collect()
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -29,7 +29,7 @@
     /// After this much time without an answer a worker has dropped its tasks.
     pub lease_expiry_ms: Millis,
     /// Since when the leader has taken reports without a break.
-    pub hearing_since: Millis,
+    pub receiving_reports_since: Millis,
     /// Something happened since the last round that placement depends on.
     pub capacity_changed: bool,
     /// Starts that may still arrive have to be withdrawn by a higher term.
@@ -46,7 +46,7 @@
             delivery_due: BTreeSet::new(),
             report_s: settings.params.workers.report_s,
             lease_expiry_ms: settings.lease_expiry_ms(),
-            hearing_since: 0,
+            receiving_reports_since: 0,
             capacity_changed: true,
             needs_higher_term: false,
         }
