--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -14,7 +14,7 @@
 const LATE_MS: Millis = 6_000;
 
 /// Ended tasks that a machine may have to list because one start is in doubt.
-pub(crate) const MANY_ENDED: usize = 40;
+pub(crate) const MAX_LISTED_ENDED_TASKS: usize = 40;
 
 impl Workers {
     /// Why a report is rejected before anything is learned from it; `None` if it is not.
@@ -120,7 +120,7 @@
     /// reports may not grow without end.
     fn limit_ended_tasks(&mut self, ix: MachineIx, term: u64) {
         self.needs_higher_term |= self.machines.get(ix).is_some_and(|machine| {
-            machine.has_unconfirmed_start_of(term) && machine.unmatched_ended_tasks() >= MANY_ENDED
+            machine.has_unconfirmed_start_of(term) && machine.unmatched_ended_tasks() >= MAX_LISTED_ENDED_TASKS
         });
     }
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -34,7 +34,7 @@
 pub use delivery::Delivery;
 pub use machine::{MISSED_ANSWERS_TO_CORDON, MISSED_ANSWERS_TO_DECOMMISSION, Machine};
 #[cfg(test)]
-pub(crate) use merge::MANY_ENDED;
+pub(crate) use merge::MAX_LISTED_ENDED_TASKS;
 pub use registry::Workers;
 pub use report::{MergeOutcome, MergedReport, ReceivedReport, ReportPath};
 pub use task_name::{split_task, task_name};
