--- a/src/controller/shard/tests/attribution.rs
+++ b/src/controller/shard/tests/attribution.rs
@@ -5,7 +5,7 @@
 use crate::controller::{Shard, shard_with};
 use crate::ids::{Index, JobIx, MachineIx};
 use crate::store::JobKey;
-use crate::workers::{FAILING_JOBS, Outcome};
+use crate::workers::{Outcome, UNHEALTHY_AFTER_FAILING_JOBS};
 
 const MACHINES: usize = 6;
 const FIRST_MACHINE: MachineIx = MachineIx(0);
@@ -82,7 +82,7 @@
 fn a_machine_on_which_three_jobs_fail_is_sick() {
     let mut shard = six_machines();
     let jobs = shard.jobs.table.indices();
-    for (count, &job) in jobs.iter().enumerate().take(FAILING_JOBS) {
+    for (count, &job) in jobs.iter().enumerate().take(UNHEALTHY_AFTER_FAILING_JOBS) {
         assert!(
             !shard.workers.machines.get(FIRST_MACHINE).expect("there").is_unhealthy(),
             "after {count}"
--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -20,7 +20,7 @@
 const PROVEN_FAILURES: u32 = 3;
 /// Jobs that failed here since the last success, after which it is sick: fewer if
 /// one of them succeeded elsewhere.
-pub(crate) const FAILING_JOBS: usize = 3;
+pub(crate) const UNHEALTHY_AFTER_FAILING_JOBS: usize = 3;
 const FAILING_JOBS_ONE_PROVEN: usize = 2;
 
 /// The failures that count against a machine.
@@ -43,7 +43,7 @@
         let failing_jobs = if self.proven > 0 {
             FAILING_JOBS_ONE_PROVEN
         } else {
-            FAILING_JOBS
+            UNHEALTHY_AFTER_FAILING_JOBS
         };
         self.proven >= PROVEN_FAILURES || self.jobs.len() >= failing_jobs
     }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -26,9 +26,9 @@
 
 pub use attempt::{Attempt, CommittedRecord, EndedAttempt, Outcome, RecordState};
 pub use attempts::Attempts;
-#[cfg(test)]
-pub(crate) use attribution::FAILING_JOBS;
 pub use attribution::FailureRecord;
+#[cfg(test)]
+pub(crate) use attribution::UNHEALTHY_AFTER_FAILING_JOBS;
 pub use cloud_listing::CloudListing;
 pub use commands::command_for;
 pub use delivery::Delivery;
