--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -76,7 +76,7 @@
     /// absence proves nothing; what is there is learned.
     pub fn listed(&mut self, now: Millis, page: &MachineList) {
         for listed in &page.machines {
-            if !self.workers.was_deleted_lately(&listed.id) {
+            if !self.workers.was_recently_deleted(&listed.id) {
                 self.machine_listed(now, listed);
             }
         }
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -22,7 +22,7 @@
         if report.fencing_token > term {
             return Some(MergeOutcome::HigherFencingToken);
         }
-        self.was_deleted_lately(&report.machine)
+        self.was_recently_deleted(&report.machine)
             .then_some(MergeOutcome::MachineDeleted)
     }
 
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -59,7 +59,7 @@
 
     /// Whether the machine of this name was deleted so lately that lists and reports
     /// may still speak of it.
-    pub fn was_deleted_lately(&self, name: &str) -> bool {
+    pub fn was_recently_deleted(&self, name: &str) -> bool {
         self.tombstones.contains_key(name)
     }
 
