--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -108,7 +108,7 @@
             machine.used.add(resources);
             machine.open.push(attempt_ix);
             machine.agent_epoch = machine.agent_epoch.max(record.agent_epoch);
-            machine.touch(job.image, job.spec.image_gb, f64::MAX);
+            machine.touch_image(job.image, job.spec.image_gb, f64::MAX);
             machine.idle_since = now;
         }
         let team = job.team;
--- a/src/controller/shard/tests/attempts.rs
+++ b/src/controller/shard/tests/attempts.rs
@@ -48,7 +48,7 @@
     let job = shard.jobs.table.find("j-1").expect("known");
     let image = shard.jobs.table.get(job).expect("there").image;
     let listing = shard.workers.machines.find("host-1").expect("known");
-    machine_of_mut(&mut shard, listing).touch(image, 1.0, 50.0);
+    machine_of_mut(&mut shard, listing).touch_image(image, 1.0, 50.0);
     let ended = task(TaskState::Exited, Some(ExitReason::Stopped));
     shard.merge_report(10, &stale("host-1", 2, vec![ended]), ReportPath::Heartbeat);
     // Three machines that are long gone fill what it remembers.
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -47,7 +47,7 @@
         let machine = self.workers.machines.get_mut(ix).expect("there");
         machine.used.cpus = used;
         if let Some(other) = image {
-            machine.touch(ImageIx(job_image.0 + other), 1.0, 50.0);
+            machine.touch_image(ImageIx(job_image.0 + other), 1.0, 50.0);
         }
     }
 
@@ -182,7 +182,7 @@
             view.assign(slot, resources, image);
             let machine = fixture.workers.machines.get_mut(view.machine_at(slot)).expect("there");
             machine.used.add(resources);
-            machine.touch(image, 1.0, 50.0);
+            machine.touch_image(image, 1.0, 50.0);
         }
     }
 }
--- a/src/placement/opening.rs
+++ b/src/placement/opening.rs
@@ -53,5 +53,5 @@
     machine.used.add(job.shape.resources);
     let info = topology.type_info[machine.type_ix.usize()].as_ref();
     let cache_gb = info.map_or(0.0, |info| info.cache_gb);
-    machine.touch(job.image, job.spec.image_gb, cache_gb);
+    machine.touch_image(job.image, job.spec.image_gb, cache_gb);
 }
--- a/src/workers/image_cache.rs
+++ b/src/workers/image_cache.rs
@@ -10,7 +10,7 @@
     }
 
     /// Notes that an image is there, dropping the least recently used ones.
-    pub fn touch(&mut self, image: ImageIx, gb: f64, cache_gb: f64) {
+    pub fn touch_image(&mut self, image: ImageIx, gb: f64, cache_gb: f64) {
         self.images.retain(|&(held, _)| held != image);
         self.images.push((image, gb));
         let mut total: f64 = self.images.iter().map(|(_, gb)| gb).sum();
--- a/src/workers/image_cache/tests.rs
+++ b/src/workers/image_cache/tests.rs
@@ -16,7 +16,7 @@
         let mut machine = Machine::new("m", offer, 0);
         for (image, gb) in touches {
             let image = ImageIx(image);
-            machine.touch(image, gb, 40.0);
+            machine.touch_image(image, gb, 40.0);
             prop_assert!(machine.holds(image));
             let total: f64 = machine.images.iter().map(|(_, gb)| gb).sum();
             prop_assert!(total <= 40.0 || machine.images.len() == 1);
