--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -81,7 +81,7 @@
             }
         }
         if !page.more {
-            self.workers.cloud_list_complete();
+            self.workers.finish_cloud_list();
         }
     }
 
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -89,7 +89,7 @@
     }
 
     /// The last page of the cloud's list was read.
-    pub fn cloud_list_complete(&mut self) {
+    pub fn finish_cloud_list(&mut self) {
         for (_, machine) in self.machines.iter_mut() {
             machine.cloud_listing.list_complete();
         }
