--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -8,7 +8,7 @@
 use crate::ids::{ChunkId, ImageIx, Index, JobIx, MachineIx, TeamIx};
 use crate::pipeline::Job;
 use crate::resources::Resources;
-use crate::workers::split_task;
+use crate::workers::parse_task_name;
 
 /// Attempts planned in one round, so that a round stays short.
 const MAX_STARTS: usize = 200;
@@ -208,7 +208,7 @@
         machine
             .unmatched_tasks
             .iter()
-            .any(|unmatched| split_task(&unmatched.task) == Some((job.id.as_str(), next.task)))
+            .any(|unmatched| parse_task_name(&unmatched.task) == Some((job.id.as_str(), next.task)))
     }
 
     /// Whether the machine keeps what it lists until a higher term: it is not told to
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -1,7 +1,7 @@
 //! What a machine is told: derived anew each time from what is open on it and from
 //! what its newest report lists.
 
-use super::{Attempt, Machine, Workers, split_task, task_name};
+use super::{Attempt, Machine, Workers, parse_task_name, task_name};
 use crate::Millis;
 use crate::ids::MachineIx;
 use crate::pipeline::Jobs;
@@ -109,7 +109,7 @@
 /// Nothing about this task waits to be written, so that the worker may
 /// forget how its attempt ended.
 fn is_outcome_written(jobs: &Jobs, task: &str) -> bool {
-    let Some((job, number)) = split_task(task) else {
+    let Some((job, number)) = parse_task_name(task) else {
         return true;
     };
     let Some(job) = jobs.table.find(job).and_then(|ix| jobs.table.get(ix)) else {
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Attempts, MISSED_ANSWERS_TO_CORDON, Machine, MergeOutcome, MergedReport, ReceivedReport, ReportPath, Workers,
-    split_task,
+    parse_task_name,
 };
 use crate::Millis;
 use crate::ids::{AttemptIx, MachineIx};
@@ -172,7 +172,7 @@
         jobs: &Jobs,
         merged: &MergedReport,
     ) -> Option<AttemptIx> {
-        let (job_id, task) = split_task(&listed.task)?;
+        let (job_id, task) = parse_task_name(&listed.task)?;
         machine.open.iter().copied().find(|&ix| {
             self.get(ix).is_some_and(|attempt| {
                 attempt.task == task
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -37,4 +37,4 @@
 pub(crate) use merge::MAX_LISTED_ENDED_TASKS;
 pub use registry::Workers;
 pub use report::{MergeOutcome, MergedReport, ReceivedReport, ReportPath};
-pub use task_name::{split_task, task_name};
+pub use task_name::{parse_task_name, task_name};
--- a/src/workers/task_name.rs
+++ b/src/workers/task_name.rs
@@ -6,7 +6,7 @@
 }
 
 /// The job and the task's number within it, if the name is one of a task.
-pub fn split_task(name: &str) -> Option<(&str, u32)> {
+pub fn parse_task_name(name: &str) -> Option<(&str, u32)> {
     let (job, task) = name.rsplit_once('/')?;
     Some((job, task.parse().ok()?))
 }
