--- a/src/controller/shard/tests/attempts.rs
+++ b/src/controller/shard/tests/attempts.rs
@@ -90,7 +90,7 @@
     shard.jobs.note_deleted("j-1".into());
     shard.forget_deleted_jobs();
     assert!(shard.jobs.table.is_empty());
-    assert!(!shard.pending_writes.has_changes_of_jobs());
+    assert!(!shard.pending_writes.has_job_changes());
 }
 
 /// The first machine reports that the task's attempt there was stopped, and stays in reach.
--- a/src/persistence/pending_writes.rs
+++ b/src/persistence/pending_writes.rs
@@ -84,7 +84,7 @@
     }
 
     /// Whether anything is due to be written of any job.
-    pub fn has_changes_of_jobs(&self) -> bool {
+    pub fn has_job_changes(&self) -> bool {
         let has_chunks = !self.urgent_chunks.is_empty() || !self.deferrable_chunks.is_empty();
         has_chunks || !self.finished.is_empty() || !self.clean_ups.is_empty()
     }
--- a/src/persistence/pending_writes/tests.rs
+++ b/src/persistence/pending_writes/tests.rs
@@ -36,7 +36,7 @@
     assert!(!pending.is_clean_up_queued(JobIx(1)));
     assert!(pending.is_clean_up_queued(JobIx(2)));
     assert!(pending.finished.iter().eq(&[JobIx(2)]));
-    assert!(pending.has_changes_of_jobs());
+    assert!(pending.has_job_changes());
     pending.forget_job(JobIx(2));
-    assert!(!pending.has_changes_of_jobs());
+    assert!(!pending.has_job_changes());
 }
