--- a/src/persistence/clean_ups.rs
+++ b/src/persistence/clean_ups.rs
@@ -2,7 +2,7 @@
 
 use super::next_transaction::Draft;
 use super::transaction_builder::{DELETE_BYTES, TransactionBuilder};
-use super::{Committed, PendingWrites, WriteContext};
+use super::{CommitEffects, PendingWrites, WriteContext};
 use crate::ids::JobIx;
 use crate::pipeline::{Chunk, Job};
 use crate::store::Keys;
@@ -38,7 +38,7 @@
         &mut self,
         clean_ups: &[CleanUp],
         context: &mut WriteContext<'_>,
-        effects: &mut Committed,
+        effects: &mut CommitEffects,
     ) {
         for clean_up in clean_ups {
             let Some(job) = context.jobs.table.get_mut(clean_up.job) else {
--- a/src/persistence/mod.rs
+++ b/src/persistence/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! [`PendingWrites`] holds what is due. Each kind of change has a module that adds it to
 //! a transaction, and takes note once that transaction is committed or known not to be
-//! applied. What follows for others is returned as [`Committed`].
+//! applied. What follows for others is returned as [`CommitEffects`].
 
 mod clean_ups;
 mod context;
@@ -25,6 +25,6 @@
 pub use in_flight::InFlight;
 pub use machine_requests::{AnsweredRequest, WrittenRequest};
 pub use next_transaction::ChangeLimits;
-pub use outcome::Committed;
+pub use outcome::CommitEffects;
 pub use pending_writes::PendingWrites;
 pub use stored_value::{StoredValueError, read_value};
--- a/src/persistence/outcome.rs
+++ b/src/persistence/outcome.rs
@@ -7,7 +7,7 @@
 
 /// What a committed transaction calls for elsewhere.
 #[derive(Debug, Default)]
-pub struct Committed {
+pub struct CommitEffects {
     /// Attempts that never started and whose records are gone: to be closed as lost.
     pub withdrawn_attempts: Vec<AttemptIx>,
     /// Ended jobs all of whose keys are gone: to be forgotten.
@@ -20,8 +20,8 @@
 
 impl PendingWrites {
     /// The transaction in flight was applied at `revision`.
-    pub fn committed(&mut self, mut context: WriteContext<'_>, revision: u64) -> Committed {
-        let mut effects = Committed::default();
+    pub fn committed(&mut self, mut context: WriteContext<'_>, revision: u64) -> CommitEffects {
+        let mut effects = CommitEffects::default();
         let Some(in_flight) = self.in_flight.take() else {
             return effects;
         };
--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -2,7 +2,7 @@
 //! once its chunk is written.
 
 use super::next_transaction::Draft;
-use super::{Committed, PendingWrites, WriteContext};
+use super::{CommitEffects, PendingWrites, WriteContext};
 use crate::Millis;
 use crate::ids::ChunkId;
 use crate::pipeline::{ChunkValue, Job, OpenRecord};
@@ -73,7 +73,7 @@
         chunks: &[ChunkId],
         context: &mut WriteContext<'_>,
         revision: u64,
-        effects: &mut Committed,
+        effects: &mut CommitEffects,
     ) {
         for id in chunks {
             let Some(job) = context.jobs.table.get_mut(id.job) else {
@@ -146,7 +146,7 @@
 }
 
 /// Written attempts may start; those that were withdrawn are over.
-fn attempts_committed(job: &Job, tasks: Range<u32>, attempts: &mut Attempts, effects: &mut Committed) {
+fn attempts_committed(job: &Job, tasks: Range<u32>, attempts: &mut Attempts, effects: &mut CommitEffects) {
     for (_, &ix) in job.open.range(tasks) {
         let Some(attempt) = attempts.get_mut(ix) else {
             continue;
