--- a/src/placement/image_state.rs
+++ b/src/placement/image_state.rs
@@ -15,7 +15,7 @@
 impl ImageState {
     /// The state of an image on a machine.
     pub fn new(machine: &Machine, image: ImageIx) -> ImageState {
-        if machine.holds(image) {
+        if machine.holds_image(image) {
             ImageState::Cached
         } else {
             ImageState::Missing
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -108,7 +108,12 @@
         if !machine.usable(0) || !job.shape.allows(machine.offer()) {
             continue;
         }
-        let score = (machine.holds(job.image), machine.spot, -info.resources.cpus, -free.cpus);
+        let score = (
+            machine.holds_image(job.image),
+            machine.spot,
+            -info.resources.cpus,
+            -free.cpus,
+        );
         if free.fits(job.shape.resources) && best.is_none_or(|(other, _)| score > other) {
             best = Some((score, ix));
         }
@@ -124,7 +129,9 @@
             .as_ref()
             .expect("known");
         let allowed = job.shape.allows(machine.offer());
-        allowed && machine.holds(job.image) && !info.resources.saturating_sub(machine.used).fits(job.shape.resources)
+        allowed
+            && machine.holds_image(job.image)
+            && !info.resources.saturating_sub(machine.used).fits(job.shape.resources)
     })
 }
 
@@ -159,7 +166,7 @@
             let (workers, job) = (&fixture.workers, fixture.job());
             let expected = plain_scan(&fixture);
             let (resources, image) = (job.shape.resources, job.image);
-            let has_image = |best: &MachineIx| workers.machines.get(*best).is_some_and(|machine| machine.holds(image));
+            let has_image = |best: &MachineIx| workers.machines.get(*best).is_some_and(|machine| machine.holds_image(image));
             let room = match (expected, cache_holder_is_full(&fixture)) {
                 (None, _) => RoomForTask::Nowhere,
                 (Some(best), _) if has_image(&best) => RoomForTask::WithImageCached,
--- a/src/workers/image_cache.rs
+++ b/src/workers/image_cache.rs
@@ -5,7 +5,7 @@
 
 impl Machine {
     /// Whether the image is there or is being fetched.
-    pub fn holds(&self, image: ImageIx) -> bool {
+    pub fn holds_image(&self, image: ImageIx) -> bool {
         self.images.iter().any(|&(held, _)| held == image)
     }
 
--- a/src/workers/image_cache/tests.rs
+++ b/src/workers/image_cache/tests.rs
@@ -17,7 +17,7 @@
         for (image, gb) in touches {
             let image = ImageIx(image);
             machine.touch_image(image, gb, 40.0);
-            prop_assert!(machine.holds(image));
+            prop_assert!(machine.holds_image(image));
             let total: f64 = machine.images.iter().map(|(_, gb)| gb).sum();
             prop_assert!(total <= 40.0 || machine.images.len() == 1);
         }
