--- a/src/controller/shard/scaling.rs
+++ b/src/controller/shard/scaling.rs
@@ -28,7 +28,7 @@
         let assessment = fleet.assess_health(&context);
         for (ix, machine) in self.workers.machines.iter_mut() {
             if !machine.decommissioned {
-                machine.silent = assessment.unresponsive.contains(&ix);
+                machine.marked_unresponsive = assessment.unresponsive.contains(&ix);
             }
         }
         self.decommission(&assessment.failed);
--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -60,7 +60,7 @@
             .workers
             .machines
             .iter()
-            .all(|(_, machine)| machine.silent == (machine.zone == north || machine.decommissioned))
+            .all(|(_, machine)| machine.marked_unresponsive == (machine.zone == north || machine.decommissioned))
     );
     // Until new ones would be there; the type boots for 5 s.
     let patience = silent_ms + 7_500;
@@ -105,7 +105,7 @@
             .workers
             .machines
             .iter()
-            .all(|(_, machine)| !machine.decommissioned && !machine.silent)
+            .all(|(_, machine)| !machine.decommissioned && !machine.marked_unresponsive)
     );
     shard.decommission_failed(300_000 + 4 * silent_ms);
     assert!(shard.workers.machines.iter().all(|(_, machine)| machine.decommissioned));
--- a/src/fleet/planned.rs
+++ b/src/fleet/planned.rs
@@ -89,7 +89,7 @@
     }
 
     fn is_expected_to_stay(&self, context: &FleetContext<'_>, machine: &Machine) -> bool {
-        let is_leaving = machine.decommissioned || machine.silent || machine.spot_reclaim_at.is_some();
+        let is_leaving = machine.decommissioned || machine.marked_unresponsive || machine.spot_reclaim_at.is_some();
         !is_leaving && machine.group.is_some() && !self.is_boot_overdue(context, machine)
     }
 
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -63,7 +63,7 @@
     /// When the cloud takes it away, if it said so.
     pub spot_reclaim_at: Option<Millis>,
     /// Not heard for so long that it counts for nothing until it is again.
-    pub silent: bool,
+    pub marked_unresponsive: bool,
     /// Given up: no new tasks; to be deleted.
     pub decommissioned: bool,
     /// The direct commands to it.
@@ -111,7 +111,7 @@
             answered_at: now,
             unconfirmed_start_term: 0,
             spot_reclaim_at: None,
-            silent: false,
+            marked_unresponsive: false,
             decommissioned: false,
             delivery: Delivery::default(),
             relayed_by: None,
