--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -85,7 +85,7 @@
             let Some(attempt) = self.workers.attempts.get_mut(attempt_ix) else {
                 continue;
             };
-            attempt.stop = Some(0.0);
+            attempt.stop_grace_s = Some(0.0);
             let machine = attempt.machine;
             if attempt.is_only_planned() {
                 self.close(now, attempt_ix, Outcome::Lost);
--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -136,7 +136,7 @@
         // Nobody knows any more; what may have run long is not to be
         // stopped as if it had just begun.
         running_since: Some(0),
-        stop: job.ended.is_some().then_some(0.0),
+        stop_grace_s: job.ended.is_some().then_some(0.0),
         ..Attempt::new(job_ix, record.task, record.attempt, machine, record.agent_epoch)
     }
 }
--- a/src/controller/shard/tests/loading.rs
+++ b/src/controller/shard/tests/loading.rs
@@ -30,7 +30,7 @@
     assert_eq!((job.done.len(), job.open.len()), (2, 1));
     let (_, attempt) = shard.workers.attempts.iter().next().expect("open");
     assert_eq!((attempt.task, attempt.number, attempt.agent_epoch), (2, 7, 3));
-    assert!(attempt.record.is_written() && attempt.stop.is_none());
+    assert!(attempt.record.is_written() && attempt.stop_grace_s.is_none());
     let machine = shard.workers.machines.get(attempt.machine).expect("there");
     assert_eq!(
         (machine.name.as_str(), machine.agent_epoch, machine.open.len()),
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -13,7 +13,7 @@
 fn absence_from_a_report_proves_nothing_while_a_start_may_arrive() {
     let (mut shard, machine) = shard();
     let attempt = machine_of(&shard, machine).open[0];
-    shard.workers.attempts.get_mut(attempt).expect("open").stop = Some(0.0);
+    shard.workers.attempts.get_mut(attempt).expect("open").stop_grace_s = Some(0.0);
     machine_of_mut(&mut shard, machine).unconfirmed_start_term = 5;
     shard.merge_report(MINUTE, &report(1, 2, 5, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(open(&shard), 1);
@@ -60,7 +60,7 @@
 fn starts_of_earlier_terms_need_no_higher_term() {
     let (mut shard, machine) = shard();
     let attempt = machine_of(&shard, machine).open[0];
-    shard.workers.attempts.get_mut(attempt).expect("open").stop = Some(0.0);
+    shard.workers.attempts.get_mut(attempt).expect("open").stop_grace_s = Some(0.0);
     machine_of_mut(&mut shard, machine).unconfirmed_start_term = 4;
     shard.merge_report(MINUTE, &report(1, 2, 4, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(open(&shard), 1);
--- a/src/controller/shard/tests/scheduling.rs
+++ b/src/controller/shard/tests/scheduling.rs
@@ -62,7 +62,7 @@
         .workers
         .attempts
         .iter()
-        .filter_map(|(_, attempt)| attempt.stop)
+        .filter_map(|(_, attempt)| attempt.stop_grace_s)
         .collect()
 }
 
--- a/src/placement/preemption/candidates.rs
+++ b/src/placement/preemption/candidates.rs
@@ -101,7 +101,7 @@
             let Some(attempt) = self.cluster.workers.attempts.get(attempt_ix) else {
                 continue;
             };
-            if attempt.stop.is_some() {
+            if attempt.stop_grace_s.is_some() {
                 if let Some(candidate) = self.candidate_at(attempt.machine) {
                     candidate.free.add(job.shape.resources);
                 }
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -55,7 +55,7 @@
             return Absence::EpochGone;
         }
         self.observe_absence();
-        let unwanted = self.stop.is_some() && self.record.is_written();
+        let unwanted = self.stop_grace_s.is_some() && self.record.is_written();
         if !unwanted || !self.is_answered_start_dead(received.now) {
             return Absence::ProvesNothing;
         }
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -138,7 +138,7 @@
     /// One left in the answer to the last report.
     pub start_answered: bool,
     /// Asked to stop, with this much time to save.
-    pub stop: Option<f64>,
+    pub stop_grace_s: Option<f64>,
 }
 
 impl Attempt {
@@ -155,7 +155,7 @@
             running_since: None,
             start_sent: None,
             start_answered: false,
-            stop: None,
+            stop_grace_s: None,
         }
     }
 
@@ -167,7 +167,7 @@
 
     /// It may start, no report has shown it yet, and it is still wanted.
     pub fn is_start_due(&self) -> bool {
-        self.record.is_written() && self.observed_state.is_none() && self.stop.is_none()
+        self.record.is_written() && self.observed_state.is_none() && self.stop_grace_s.is_none()
     }
 
     /// A report lists it in this state.
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -88,7 +88,7 @@
 /// The command that an open attempt calls for, if any.
 pub fn command_for(job: &str, attempt: &Attempt) -> Option<Command> {
     let task = task_name(job, attempt.task);
-    match (attempt.observed_state, attempt.stop) {
+    match (attempt.observed_state, attempt.stop_grace_s) {
         (None, None) => Some(Command::Start {
             task,
             attempt: attempt.number,
--- a/src/workers/drain.rs
+++ b/src/workers/drain.rs
@@ -25,11 +25,11 @@
                 let Some(job) = jobs.table.get(attempt.job) else {
                     continue;
                 };
-                if attempt.stop.is_some() || attempt.observed_state.is_none() {
+                if attempt.stop_grace_s.is_some() || attempt.observed_state.is_none() {
                     continue;
                 }
                 if let Some(grace_s) = attempt.grace_before_reclaim(now, &job.spec, left_s) {
-                    attempt.stop = Some(grace_s);
+                    attempt.stop_grace_s = Some(grace_s);
                     self.delivery_due.insert(ix);
                 }
             }
