--- a/benches/costs/main.rs
+++ b/benches/costs/main.rs
@@ -67,7 +67,7 @@
     }
     for ix in shard.workers.machines.indices() {
         if let Some(machine) = shard.workers.machines.get_mut(ix) {
-            machine.written = true;
+            machine.is_persisted = true;
             // The rounds below jump ahead in time.
             machine.report_due = u64::MAX;
         }
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -17,7 +17,7 @@
     let mut shard = shard_with(3, &[("small", 8.0)], 1, true);
     let machine = shard.add_machine(0, "host-1", "small", "north", true);
     let machine = shard.workers.machines.get_mut(machine).expect("there");
-    machine.written = true;
+    machine.is_persisted = true;
     machine.heard_at = Some(START);
     machine.report_due = Millis::MAX;
     for group in shard.fleet.inventory.due(DueGroups::Urgent) {
--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -46,7 +46,7 @@
             known_up_at: address.is_some().then_some(now),
             address,
             group: Some(group_ix),
-            written: true,
+            is_persisted: true,
             // A start sent under an earlier term may still be on its way.
             unconfirmed_start_term: self.term.saturating_sub(1),
             ..Machine::new(&name, Offer { type_ix, zone, spot }, now)
--- a/src/controller/shard/tests/attempts.rs
+++ b/src/controller/shard/tests/attempts.rs
@@ -42,7 +42,7 @@
         shard.merge_report(0, &stale(name, 1, Vec::new()), ReportPath::CommandReply);
         let machine = shard.workers.machines.find(name).expect("known");
         let known = machine_of_mut(&mut shard, machine);
-        known.written = true;
+        known.is_persisted = true;
         known.report_due = Millis::MAX;
     }
     let job = shard.jobs.table.find("j-1").expect("known");
@@ -125,7 +125,7 @@
         shard.merge_report(0, &heard, ReportPath::CommandReply);
         let machine = shard.workers.machines.find(name).expect("known");
         let known = machine_of_mut(&mut shard, machine);
-        known.written = true;
+        known.is_persisted = true;
         known.report_due = Millis::MAX;
     }
     lists_its_attempt(&mut shard);
--- a/src/controller/shard/tests/scheduling.rs
+++ b/src/controller/shard/tests/scheduling.rs
@@ -38,7 +38,7 @@
     shard.job_changed(0, "j-2", &backfill("j-2", saves), 2);
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
     let known = shard.workers.machines.get_mut(machine).expect("there");
-    known.written = true;
+    known.is_persisted = true;
     known.heard_at = Some(NOW);
     known.report_due = NOW + 10_000;
     let job = shard.jobs.table.find("j-2").expect("known");
--- a/src/controller/shard/tests/transactions.rs
+++ b/src/controller/shard/tests/transactions.rs
@@ -21,7 +21,7 @@
     let mut shard = shard_with(5, &[("large", 64.0)], tasks, true);
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
     let machine = shard.workers.machines.get_mut(machine).expect("there");
-    machine.written = true;
+    machine.is_persisted = true;
     machine.heard_at = Some(0);
     machine.report_due = Millis::MAX;
     for group in shard.fleet.inventory.due(DueGroups::Urgent) {
@@ -187,6 +187,6 @@
     shard.not_applied();
     assert_eq!(next(&mut shard, MAX_CHANGES).expect("due again"), both);
     shard.committed(10_000, 7);
-    assert!(shard.workers.machines.get(machine).expect("there").written);
+    assert!(shard.workers.machines.get(machine).expect("there").is_persisted);
     assert!(next(&mut shard, MAX_CHANGES).is_none());
 }
--- a/src/controller/shard/tests/worker_fixture.rs
+++ b/src/controller/shard/tests/worker_fixture.rs
@@ -18,7 +18,7 @@
     shard.merge_report(0, &report(1, 1, 5, Vec::new()), ReportPath::CommandReply);
     let machine = shard.workers.machines.find("host-1").expect("known");
     let known = machine_of_mut(&mut shard, machine);
-    known.written = true;
+    known.is_persisted = true;
     // The tests jump ahead in time.
     known.report_due = Millis::MAX;
     shard.place(0);
--- a/src/persistence/inventory_groups.rs
+++ b/src/persistence/inventory_groups.rs
@@ -110,7 +110,7 @@
 fn mark_written(name: &str, workers: &mut Workers) {
     let ix: Option<MachineIx> = workers.machines.find(name);
     if let Some(machine) = ix.and_then(|ix| workers.machines.get_mut(ix)) {
-        machine.written = true;
+        machine.is_persisted = true;
     }
 }
 
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -55,7 +55,7 @@
         let type_ix = self.topology.type_ix(type_name);
         let zone = self.topology.zones.intern(zone);
         let mut machine = Machine::new(name, Offer { type_ix, zone, spot }, 0);
-        machine.written = true;
+        machine.is_persisted = true;
         machine.heard_at = Some(0);
         self.workers.machines.insert(name, machine)
     }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -30,7 +30,7 @@
     /// Its group in the inventory.
     pub group: Option<GroupIx>,
     /// The key of its group names it.
-    pub written: bool,
+    pub is_persisted: bool,
     /// When it was asked of the cloud, as far as is known.
     pub requested_at: Millis,
     /// Whether the cloud's lists name it.
@@ -96,7 +96,7 @@
             zone: offer.zone,
             spot: offer.spot,
             group: None,
-            written: false,
+            is_persisted: false,
             requested_at: now,
             cloud_listing: CloudListing::default(),
             agent_epoch: 0,
@@ -128,7 +128,7 @@
     /// May be given new tasks: the inventory names it (a successor must know of
     /// it), it was heard by this leader, and no fault of it is known.
     pub fn usable(&self, now: Millis) -> bool {
-        self.written
+        self.is_persisted
             && self.heard_at.is_some()
             && now <= self.report_due
             && !self.has_unanswered_command
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -85,7 +85,7 @@
     }
     let machines = shard.workers.machines.indices();
     for ix in machines {
-        shard.workers.machines.get_mut(ix).expect("there").written = true;
+        shard.workers.machines.get_mut(ix).expect("there").is_persisted = true;
     }
 }
 
