--- a/src/controller/shard/transactions.rs
+++ b/src/controller/shard/transactions.rs
@@ -30,7 +30,10 @@
             return None;
         }
         self.forget_deleted_jobs();
-        let limits = ChangeLimits { total: max_ops, spare };
+        let limits = ChangeLimits {
+            total: max_ops,
+            deferrable_cutoff: spare,
+        };
         let (pending_writes, context) = self.write_context();
         pending_writes.next_transaction(now, keys, context, claim, limits)
     }
--- a/src/persistence/next_transaction.rs
+++ b/src/persistence/next_transaction.rs
@@ -17,7 +17,7 @@
     pub total: usize,
     /// Up to which what nobody waits for is added, so that it never delays the next
     /// starts.
-    pub spare: usize,
+    pub deferrable_cutoff: usize,
 }
 
 /// A transaction under construction and what it stands for.
@@ -75,9 +75,9 @@
         draft: &mut Draft<'_>,
     ) {
         let urgent = draft.builder.len();
-        let most = limits.total.min(limits.spare.max(urgent));
+        let most = limits.total.min(limits.deferrable_cutoff.max(urgent));
         // Half of it for clean-ups, so that they are never put off for good.
-        let with_clean_ups = urgent + limits.spare.div_ceil(2);
+        let with_clean_ups = urgent + limits.deferrable_cutoff.div_ceil(2);
         draft.builder.limit_changes(most.min(with_clean_ups));
         self.add_clean_ups(context, draft);
         draft.builder.limit_changes(most);
