--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -1,27 +1,28 @@
-//! Open attempts that their machine's newest report does not list.
+//! Handling of open attempts that their machine's newest report does not list.
 
 use super::{Attempt, Machine, MergedReport, Outcome, ReceivedReport, RecordState, Workers};
 use crate::ids::{AttemptIx, ChunkId, MachineIx};
 use crate::pipeline::Jobs;
 
-/// What it means that a report does not list an attempt.
+/// What follows from the absence of an open attempt from a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Absence {
-    /// It may still start, or is wanted to.
-    ProvesNothing,
-    /// The worker forgot all tasks of its earlier agent epochs.
-    EpochGone,
-    /// Not wanted, not there, and no start for it can still arrive.
+    /// The attempt is still wanted or may still start.
+    Inconclusive,
+    /// The attempt has ended: the worker dropped all tasks of its earlier agent epochs.
+    EpochEnded,
+    /// The attempt is no longer wanted, and no start command for it can still arrive.
     NeverStarts,
-    /// The same, but for a start of this term that may still arrive: only a higher
-    /// fencing token can withdraw it.
+    /// The attempt is no longer wanted, but a start command of this term may still arrive.
+    /// Only a higher fencing token makes the worker reject that command.
     NeedsHigherTerm,
 }
 
 impl Workers {
-    /// Looks at the open attempts that a report does not list. Returns whether one of
-    /// them should be there, since the answer to the report before told to start it.
-    pub(super) fn observe_missing(
+    /// Handles the open attempts that a report does not list. Returns whether the report
+    /// should list one of them because the answer to the previous report contained its start
+    /// command.
+    pub(super) fn handle_missing_attempts(
         &mut self,
         ix: MachineIx,
         received: ReceivedReport<'_>,
@@ -29,49 +30,51 @@
         jobs: &Jobs,
         merged: &mut MergedReport,
     ) -> bool {
-        let mut lacks_start = false;
+        let mut start_is_missing = false;
         let Some(machine) = self.machines.get(ix) else {
-            return lacks_start;
+            return start_is_missing;
         };
         for &attempt_ix in machine.open.iter().filter(|&open| !listed.contains(open)) {
             let Some(attempt) = self.attempts.get_mut(attempt_ix) else {
                 continue;
             };
-            lacks_start |= attempt.start_answered && attempt.agent_epoch == received.report.agent_epoch;
-            match attempt.observe_missing(machine, received) {
-                Absence::ProvesNothing => {}
-                Absence::EpochGone => merged.end(attempt_ix, Outcome::Lost),
+            start_is_missing |= attempt.start_in_last_answer && attempt.agent_epoch == received.report.agent_epoch;
+            match attempt.classify_absence(machine, received) {
+                Absence::Inconclusive => {}
+                Absence::EpochEnded => merged.end(attempt_ix, Outcome::Lost),
                 Absence::NeverStarts => attempt.withdraw_record(attempt_ix, jobs, merged),
                 Absence::NeedsHigherTerm => self.needs_higher_term = true,
             }
         }
-        lacks_start
+        start_is_missing
     }
 }
 
 impl Attempt {
-    fn observe_missing(&mut self, machine: &Machine, received: ReceivedReport<'_>) -> Absence {
+    /// Records that a report does not list the attempt, and returns what follows from it.
+    fn classify_absence(&mut self, machine: &Machine, received: ReceivedReport<'_>) -> Absence {
         if self.agent_epoch < received.report.agent_epoch {
-            return Absence::EpochGone;
+            return Absence::EpochEnded;
         }
-        self.observe_absence();
-        let unwanted = self.stop_grace_s.is_some() && self.record.is_written();
-        if !unwanted || !self.is_answered_start_dead(received.now) {
-            return Absence::ProvesNothing;
+        self.clear_observed_state();
+        let is_unwanted = self.stop_grace_s.is_some() && self.record.is_written();
+        if !is_unwanted || !self.has_answered_start_expired(received.now) {
+            return Absence::Inconclusive;
         }
         if !machine.may_receive_direct_start(received.report.fencing_token) {
             Absence::NeverStarts
         } else if machine.has_unconfirmed_start_of(received.term) {
-            // Starts of earlier terms are withdrawn already, once the worker
-            // sees ours; only one of our own term calls for a higher.
+            // A worker that has seen the fencing token of this term rejects starts of
+            // earlier terms. Only a start of this term requires a higher term.
             Absence::NeedsHigherTerm
         } else {
-            Absence::ProvesNothing
+            Absence::Inconclusive
         }
     }
 
-    /// This attempt never starts. Its record must go before its room is given to
-    /// another; an ended job's records start nothing.
+    /// Withdraws the record of an attempt that never starts. The record has to be removed
+    /// before the attempt's resources are given to another attempt. The attempt of an ended
+    /// job ends immediately, since a new leader starts nothing from that job's records.
     fn withdraw_record(&mut self, ix: AttemptIx, jobs: &Jobs, merged: &mut MergedReport) {
         let Some(job) = jobs.table.get(self.job).filter(|job| job.ended.is_none()) else {
             merged.end(ix, Outcome::Lost);
@@ -88,9 +91,10 @@
 }
 
 impl Machine {
-    /// A start sent directly may still arrive at a worker that holds this fencing token.
+    /// Whether a start command that was sent directly may still arrive and be accepted by a
+    /// worker whose highest fencing token is `fencing_token`.
     fn may_receive_direct_start(&self, fencing_token: u64) -> bool {
-        let unconfirmed = self.unconfirmed_start_term > 0 && self.unconfirmed_start_term >= fencing_token;
-        unconfirmed || self.delivery.has_starts_in_flight()
+        let is_unconfirmed = self.unconfirmed_start_term > 0 && self.unconfirmed_start_term >= fencing_token;
+        is_unconfirmed || self.delivery.has_starts_in_flight()
     }
 }
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -1,30 +1,32 @@
-//! One attempt at a task, from its placement until it is proven over.
+//! One attempt to run a task, from its placement until there is proof that it has ended.
 
 use crate::Millis;
 use crate::ids::{AttemptIx, JobIx, MachineIx};
 use crate::wire::{ExitReason, TaskState};
 
-/// A worker drops a report's answer after 4 s; a command in it is then dead.
-const ANSWER_LIFE_MS: Millis = 4_500;
+/// How long a command in the answer to a report may still be carried out. A worker discards
+/// the answer to its report after 4 s.
+const ANSWER_LIFETIME_MS: Millis = 4_500;
 
-/// How an attempt was proven over.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Its task is done.
+    /// The task completed successfully.
     Done,
-    /// Its task failed.
+    /// The task failed.
     Error,
-    /// Refused by the worker.
+    /// The worker refused to start the attempt, or reported no exit reason that this version
+    /// knows.
     Refused,
-    /// Stopped by command.
+    /// The worker stopped the attempt on command.
     Stopped,
-    /// Gone with its machine or its agent epoch, or never started.
+    /// The attempt ended with its machine or its agent epoch, or it never started.
     Lost,
 }
 
 impl Outcome {
-    /// What a worker's reason for an exit means.
-    pub fn of_exit(reason: Option<ExitReason>) -> Outcome {
+    /// Returns the outcome for the exit reason that a worker reported.
+    pub fn from_exit_reason(reason: Option<ExitReason>) -> Outcome {
         match reason {
             Some(ExitReason::Done) => Outcome::Done,
             Some(ExitReason::Error) => Outcome::Error,
@@ -34,38 +36,40 @@
     }
 }
 
-/// An attempt that is proven over, and is to be closed.
+/// An attempt that has provably ended and has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedAttempt {
-    /// The attempt.
+    /// Index of the attempt, valid until it is closed.
     pub attempt: AttemptIx,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
 }
 
-/// How the record of an attempt in the state service stands. Only a written attempt may
-/// start. One that is proven never to start keeps its room until its record is gone: a new
-/// leader would read the record and start it.
+/// State of an attempt's record in the state service.
+///
+/// An attempt may start only after its record is written. An attempt that can no longer
+/// start keeps its resources reserved until its record is removed: a new leader would
+/// otherwise read the record and start the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordState {
-    /// Nobody else knows of the attempt.
+    /// Only this leader knows of the attempt.
     Planned,
-    /// In the transaction in flight.
+    /// The transaction in flight writes the record.
     BeingWritten,
-    /// Known to be in the state service.
+    /// The state service holds the record.
     Written,
-    /// Written, and to be removed since the attempt never starts.
+    /// The record is written and has to be removed, since the attempt never starts.
     Withdrawn,
-    /// Its removal is in the transaction in flight.
+    /// The transaction in flight removes the record.
     BeingRemoved,
 }
 
-/// What a committed transaction made of a record that it held.
+/// Change that a committed transaction made to an attempt's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommittedRecord {
-    /// The record is in the state service now.
+    /// The state service now holds the record.
     Written,
-    /// The record is gone.
+    /// The state service no longer holds the record.
     Removed,
 }
 
@@ -78,12 +82,12 @@
         )
     }
 
-    /// Whether the attempt is proven never to start.
+    /// Whether it is certain that the attempt never starts.
     pub fn is_withdrawn(self) -> bool {
         matches!(self, RecordState::Withdrawn | RecordState::BeingRemoved)
     }
 
-    /// A transaction that writes the chunk's records as they stand is sent.
+    /// Updates the state when a transaction that writes the records of the chunk is sent.
     pub fn start_write(&mut self) {
         *self = match *self {
             RecordState::Planned | RecordState::BeingWritten => RecordState::BeingWritten,
@@ -92,7 +96,7 @@
         };
     }
 
-    /// The transaction in flight was surely not applied.
+    /// Updates the state when it is certain that the transaction in flight was not applied.
     pub fn write_failed(&mut self) {
         *self = match *self {
             RecordState::Planned | RecordState::BeingWritten => RecordState::Planned,
@@ -101,7 +105,8 @@
         };
     }
 
-    /// The transaction in flight was applied. `None`: it did not change this record.
+    /// Updates the state when the transaction in flight was applied. Returns `None` if that
+    /// transaction did not change this record.
     pub fn write_committed(&mut self) -> Option<CommittedRecord> {
         match *self {
             RecordState::BeingWritten => {
@@ -114,35 +119,37 @@
     }
 }
 
-/// An attempt at a task, on one machine.
+/// An attempt to run a task on one machine.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The job that the task belongs to.
+    /// Job that the task belongs to.
     pub job: JobIx,
-    /// The task's number within its job.
+    /// Number of the task within its job.
     pub task: u32,
-    /// The attempt's number, which rises within a chunk of the job's tasks.
+    /// Number of the attempt. Numbers increase within a chunk of the job's tasks.
     pub number: u64,
-    /// Where it runs or is to run.
+    /// Machine on which the attempt runs or will run.
     pub machine: MachineIx,
-    /// The agent epoch of the worker that it was placed for.
+    /// Agent epoch of the worker for which the attempt was placed.
     pub agent_epoch: u64,
-    /// How its record in the state service stands.
+    /// State of the attempt's record in the state service.
     pub record: RecordState,
-    /// State in the newest report; `None` while no report has shown it.
+    /// State of the attempt in the machine's newest report; `None` if that report does not
+    /// list it.
     pub observed_state: Option<TaskState>,
-    /// When a report first showed it running.
+    /// When a report first listed the attempt as running; `None` while it is not listed.
     pub running_since: Option<Millis>,
-    /// When a start command last left, by a report's answer or directly.
-    pub start_sent: Option<Millis>,
-    /// One left in the answer to the last report.
-    pub start_answered: bool,
-    /// Asked to stop, with this much time to save.
+    /// When a start command was last sent, in the answer to a report or directly.
+    pub start_sent_at: Option<Millis>,
+    /// Whether the answer to the machine's last report contained a start command.
+    pub start_in_last_answer: bool,
+    /// Seconds that the task may take to save its progress, if the attempt is to stop; `None`
+    /// while it is wanted.
     pub stop_grace_s: Option<f64>,
 }
 
 impl Attempt {
-    /// An attempt that this leader has planned, and that nobody else knows of yet.
+    /// Returns a new attempt that this leader has planned and not yet written.
     pub fn new(job: JobIx, task: u32, number: u64, machine: MachineIx, agent_epoch: u64) -> Attempt {
         Attempt {
             job,
@@ -153,24 +160,25 @@
             record: RecordState::Planned,
             observed_state: None,
             running_since: None,
-            start_sent: None,
-            start_answered: false,
+            start_sent_at: None,
+            start_in_last_answer: false,
             stop_grace_s: None,
         }
     }
 
-    /// Its firing is neither written nor in the transaction in flight: nobody else
-    /// knows of it, and it can be dropped at once.
+    /// Whether the attempt's record is neither written nor in the transaction in flight. Such
+    /// an attempt is known only to this leader and can be dropped immediately.
     pub fn is_only_planned(&self) -> bool {
         self.record == RecordState::Planned
     }
 
-    /// It may start, no report has shown it yet, and it is still wanted.
+    /// Whether the attempt should be started: its record is written, the newest report does
+    /// not list it, and it has not been asked to stop.
     pub fn is_start_due(&self) -> bool {
         self.record.is_written() && self.observed_state.is_none() && self.stop_grace_s.is_none()
     }
 
-    /// A report lists it in this state.
+    /// Records the state in which a report lists the attempt.
     pub(super) fn observe(&mut self, now: Millis, state: TaskState) {
         self.observed_state = Some(state);
         if state == TaskState::Running && self.running_since.is_none() {
@@ -178,19 +186,19 @@
         }
     }
 
-    /// The newest report does not list it.
-    pub(super) fn observe_absence(&mut self) {
+    /// Records that the newest report does not list the attempt.
+    pub(super) fn clear_observed_state(&mut self) {
         self.observed_state = None;
         self.running_since = None;
     }
 
-    /// No start that left in the answer to a report can still be carried out.
-    pub(super) fn is_answered_start_dead(&self, now: Millis) -> bool {
-        self.start_sent.is_none_or(|sent| now > sent + ANSWER_LIFE_MS)
+    /// Whether no start command sent in the answer to a report can still be carried out.
+    pub(super) fn has_answered_start_expired(&self, now: Millis) -> bool {
+        self.start_sent_at.is_none_or(|sent| now > sent + ANSWER_LIFETIME_MS)
     }
 
-    /// How long reports have shown it running.
-    pub(super) fn ran_s(&self, now: Millis) -> f64 {
+    /// Returns for how many seconds reports have listed the attempt as running.
+    pub(super) fn observed_running_s(&self, now: Millis) -> f64 {
         self.running_since.map_or(0.0, |since| (now - since) as f64 / 1000.0)
     }
 }
--- a/src/workers/attempt/tests.rs
+++ b/src/workers/attempt/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_record_is_written_once_its_transaction_was_applied() {
+fn a_record_counts_as_written_only_after_its_transaction_is_applied() {
     let mut record = RecordState::Planned;
     record.start_write();
     assert_eq!(record, RecordState::BeingWritten);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_written_record_is_not_changed_by_other_writes_of_its_chunk() {
+fn a_written_record_is_unchanged_by_later_writes_of_its_chunk() {
     let mut record = RecordState::Written;
     record.start_write();
     assert_eq!(record, RecordState::Written);
@@ -24,9 +24,13 @@
 }
 
 #[test]
-fn a_withdrawn_record_is_gone_only_after_a_transaction_that_was_sent_since() {
+fn a_withdrawn_record_is_removed_only_by_a_transaction_sent_after_the_withdrawal() {
     let mut record = RecordState::Withdrawn;
-    assert_eq!(record.write_committed(), None, "sent before it was withdrawn");
+    assert_eq!(
+        record.write_committed(),
+        None,
+        "the transaction was sent before the withdrawal"
+    );
     record.start_write();
     assert!(record.is_withdrawn() && record.is_written());
     record.write_failed();
--- a/src/workers/attempts.rs
+++ b/src/workers/attempts.rs
@@ -1,11 +1,11 @@
-//! The open attempts of all jobs.
+//! Storage of the open attempts of all jobs.
 
 use super::{Attempt, Outcome};
 use crate::Millis;
 use crate::ids::{AttemptIx, Index};
 use crate::wire::{TaskReport, TaskState};
 
-/// Attempts by a reusable index.
+/// Open attempts, addressed by indices that are reused after removal.
 #[derive(Debug, Default)]
 pub struct Attempts {
     slots: Vec<Option<Attempt>>,
@@ -13,7 +13,7 @@
 }
 
 impl Attempts {
-    /// Adds an attempt.
+    /// Adds an attempt and returns its index.
     pub fn insert(&mut self, attempt: Attempt) -> AttemptIx {
         let ix = self.free.pop().unwrap_or_else(|| {
             self.slots.push(None);
@@ -23,7 +23,7 @@
         ix
     }
 
-    /// Removes an attempt; its index may be given to another.
+    /// Removes and returns an attempt. Its index may be reused for another attempt.
     pub fn remove(&mut self, ix: AttemptIx) -> Option<Attempt> {
         let attempt = self.slots.get_mut(ix.usize())?.take();
         if attempt.is_some() {
@@ -32,26 +32,27 @@
         attempt
     }
 
-    /// The attempt that has this index, if it is still open.
+    /// Returns the attempt with this index, if it is open.
     pub fn get(&self, ix: AttemptIx) -> Option<&Attempt> {
         self.slots.get(ix.usize())?.as_ref()
     }
 
-    /// The attempt that has this index, if it is still open, to be changed.
+    /// Returns the attempt with this index for modification, if it is open.
     pub fn get_mut(&mut self, ix: AttemptIx) -> Option<&mut Attempt> {
         self.slots.get_mut(ix.usize())?.as_mut()
     }
 
-    /// All open attempts in the order of their indices.
+    /// Iterates over all open attempts in the order of their indices.
     pub fn iter(&self) -> impl Iterator<Item = (AttemptIx, &Attempt)> {
         let slots = self.slots.iter().enumerate();
         slots.filter_map(|(ix, slot)| slot.as_ref().map(|attempt| (AttemptIx::from_usize(ix), attempt)))
     }
 
-    /// Takes the state in which a report lists an attempt: its outcome, if it has exited.
+    /// Records the state in which a report lists an attempt. Returns the outcome if the attempt
+    /// has exited.
     pub(super) fn observe(&mut self, now: Millis, ix: AttemptIx, task: &TaskReport) -> Option<Outcome> {
         if task.state == TaskState::Exited {
-            return Some(Outcome::of_exit(task.exit_reason));
+            return Some(Outcome::from_exit_reason(task.exit_reason));
         }
         if let Some(attempt) = self.get_mut(ix) {
             attempt.observe(now, task.state);
--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -1,80 +1,81 @@
-//! Whose fault a failed task is: its machine's, or that of a job which was
-//! submitted with a mistake and fails everywhere.
+//! Attribution of task failures, either to the machine or to a job that was submitted with a
+//! mistake and fails everywhere.
 //!
-//! The failure of a job that succeeded elsewhere counts against the machine. That of a
-//! job that never succeeded does so only until the job has failed often enough, on
-//! different machines or at different times, to be taken for mistaken; its failures
-//! are then no longer counted against any machine.
+//! The failure of a job that has succeeded elsewhere counts against the machine. The failure
+//! of a job that has never succeeded counts against the machine only until the job has failed
+//! often enough, on different machines or at different times, to be considered mistaken. From
+//! then on its failures count against no machine.
 
 use super::{Attempt, Machine, Outcome, Workers};
 use crate::Millis;
 use crate::ids::JobIx;
 use crate::pipeline::Jobs;
 
-/// A machine on which a task failed gets no new tasks for this long, so that a
-/// sick one can't swallow a whole queue.
+/// How long a machine on which a task failed gets no new tasks, so that a faulty machine
+/// cannot fail a whole queue of tasks.
 const FAILURE_CORDON_MS: Millis = 5_000;
-/// A machine that refused a task gets no new ones for this long.
+/// How long a machine that refused a task gets no new tasks.
 const REFUSED_CORDON_MS: Millis = 1_000;
-/// Failures of jobs that succeeded elsewhere, after which a machine is sick.
-const PROVEN_FAILURES: u32 = 3;
-/// Jobs that failed here since the last success, after which it is sick: fewer if
-/// one of them succeeded elsewhere.
+/// Number of failures of jobs that succeeded elsewhere at which a machine is unhealthy.
+const UNHEALTHY_AFTER_PROVEN_FAILURES: u32 = 3;
+/// Number of distinct jobs failing on a machine since its last success at which the machine
+/// is unhealthy, if none of the failures is of a job that succeeded elsewhere.
 pub(crate) const UNHEALTHY_AFTER_FAILING_JOBS: usize = 3;
-const FAILING_JOBS_ONE_PROVEN: usize = 2;
+/// The same number if one of the failures is of a job that succeeded elsewhere.
+const UNHEALTHY_AFTER_FAILING_JOBS_ONE_PROVEN: usize = 2;
 
-/// The failures that count against a machine.
+/// The task failures that count against a machine.
 #[derive(Debug, Default)]
 pub struct FailureRecord {
-    /// Jobs whose tasks failed here since the last success.
-    jobs: Vec<JobIx>,
-    /// Failures since then of jobs that succeeded elsewhere.
-    proven: u32,
+    /// Jobs whose tasks have failed on the machine since its last success.
+    failing_jobs: Vec<JobIx>,
+    /// Number of failures since then of jobs that succeeded elsewhere.
+    proven_failures: u32,
 }
 
 impl FailureRecord {
-    /// No failure counts against the machine.
+    /// Whether no failure counts against the machine.
     pub fn is_clean(&self) -> bool {
-        self.jobs.is_empty() && self.proven == 0
+        self.failing_jobs.is_empty() && self.proven_failures == 0
     }
 
-    /// So many failures that the machine is most likely at fault.
+    /// Whether there are so many failures that the machine is most likely at fault.
     fn is_unhealthy(&self) -> bool {
-        let failing_jobs = if self.proven > 0 {
-            FAILING_JOBS_ONE_PROVEN
+        let failing_jobs_limit = if self.proven_failures > 0 {
+            UNHEALTHY_AFTER_FAILING_JOBS_ONE_PROVEN
         } else {
             UNHEALTHY_AFTER_FAILING_JOBS
         };
-        self.proven >= PROVEN_FAILURES || self.jobs.len() >= failing_jobs
+        self.proven_failures >= UNHEALTHY_AFTER_PROVEN_FAILURES || self.failing_jobs.len() >= failing_jobs_limit
     }
 
-    /// Notes that a task of the job failed here. Returns whether one of them had
-    /// failed here before.
+    /// Records that a task of the job failed on the machine. Returns whether a task of this job
+    /// had already failed on it since the last success.
     fn note_job(&mut self, job: JobIx) -> bool {
-        let is_noted = self.jobs.contains(&job);
-        if !is_noted {
-            self.jobs.push(job);
+        let failed_before = self.failing_jobs.contains(&job);
+        if !failed_before {
+            self.failing_jobs.push(job);
         }
-        is_noted
+        failed_before
     }
 
     fn clear(&mut self) {
-        self.jobs.clear();
-        self.proven = 0;
+        self.failing_jobs.clear();
+        self.proven_failures = 0;
     }
 }
 
 impl Machine {
-    /// Whether it fails what it is given.
+    /// Whether so many tasks fail on the machine that it is most likely at fault.
     pub fn is_unhealthy(&self) -> bool {
         self.failures.is_unhealthy()
     }
 
-    /// Takes what the end of an attempt says of the machine; a failure is attributed by
+    /// Updates the machine after the end of an attempt. Failures of tasks are handled by
     /// [`Workers::note_failure`].
     pub fn note_outcome(&mut self, now: Millis, outcome: Outcome) {
         match outcome {
-            // A task succeeded here: earlier failures no longer count.
+            // A success clears all earlier failures.
             Outcome::Done => self.failures.clear(),
             Outcome::Refused => self.cordoned_until = now + REFUSED_CORDON_MS,
             Outcome::Error | Outcome::Stopped | Outcome::Lost => {}
@@ -83,7 +84,7 @@
 }
 
 impl Workers {
-    /// A task failed: counts it against its machine or against its job.
+    /// Counts the failure of a task against its machine, its job or both.
     pub fn note_failure(&mut self, now: Millis, attempt: &Attempt, jobs: &mut Jobs) {
         let (Some(job), Some(machine)) = (jobs.table.get_mut(attempt.job), self.machines.get_mut(attempt.machine))
         else {
@@ -94,11 +95,11 @@
             return;
         }
         let failed_here_before = machine.failures.note_job(attempt.job);
-        // Tasks that fail together on one machine say no more than one of them.
+        // Several tasks of a job that fail together on one machine count as one failure.
         let counts_against_job = !failed_here_before || now >= machine.cordoned_until;
         machine.cordoned_until = now + FAILURE_CORDON_MS;
         if !job.done.is_empty() {
-            machine.failures.proven += 1;
+            machine.failures.proven_failures += 1;
         } else if counts_against_job {
             job.errors += 1;
         }
@@ -107,11 +108,11 @@
         }
     }
 
-    /// This job's failures were its own, or the job is gone: they no longer count
-    /// against any machine.
+    /// Removes a job's failures from all machines, because the job itself is at fault or has
+    /// been removed.
     pub fn clear_failures_of(&mut self, job: JobIx) {
         for (_, machine) in self.machines.iter_mut() {
-            machine.failures.jobs.retain(|&failing| failing != job);
+            machine.failures.failing_jobs.retain(|&failing_job| failing_job != job);
         }
     }
 }
--- a/src/workers/cloud_listing.rs
+++ b/src/workers/cloud_listing.rs
@@ -1,32 +1,34 @@
-//! Whether the cloud's lists name a machine. A list comes in pages, and what it does
-//! not name is known only after its last page.
+//! Tracks whether the cloud's machine lists name a machine. A list comes in pages, so a
+//! machine is known to be missing only after the last page.
 
-/// What the last complete list said.
+/// What the last complete list said about a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum LastList {
-    /// No list has named the machine yet: lists lag behind new machines.
+    /// No list has named the machine yet. Lists lag behind the creation of machines.
     #[default]
     NotNamedYet,
+    /// The list named the machine.
     Named,
-    /// Left out, though an earlier list named the machine.
+    /// The list omitted the machine, although an earlier one named it.
     Missing,
 }
 
-/// A machine's place in the cloud's lists.
+/// Presence of a machine in the cloud's lists.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CloudListing {
+    /// Whether a page of the list that is now being read names the machine.
     named_in_current: bool,
     last: LastList,
 }
 
 impl CloudListing {
-    /// A page of the list now being read names the machine.
-    pub fn named(&mut self) {
+    /// Records that a page of the list that is now being read names the machine.
+    pub fn note_named(&mut self) {
         self.named_in_current = true;
     }
 
-    /// The list now being read is complete.
-    pub fn list_complete(&mut self) {
+    /// Records that the last page of the current list has been read.
+    pub fn finish_list(&mut self) {
         self.last = match (self.named_in_current, self.last) {
             (true, _) => LastList::Named,
             (false, LastList::NotNamedYet) => LastList::NotNamedYet,
@@ -35,7 +37,7 @@
         self.named_in_current = false;
     }
 
-    /// The last complete list left the machine out, though an earlier one named it.
+    /// Whether the last complete list omitted the machine although an earlier one named it.
     pub fn is_missing(&self) -> bool {
         self.last == LastList::Missing
     }
--- a/src/workers/cloud_listing/tests.rs
+++ b/src/workers/cloud_listing/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
 
 #[test]
-fn a_machine_that_no_list_has_named_is_not_missing() {
+fn a_machine_never_named_by_a_list_is_not_missing() {
     let mut listing = CloudListing::default();
-    listing.list_complete();
+    listing.finish_list();
     assert!(!listing.is_missing());
 }
 
 #[test]
-fn a_machine_is_missing_from_the_end_of_a_list_without_it_to_the_end_of_one_with_it() {
+fn whether_a_machine_is_missing_changes_only_when_a_list_is_complete() {
     let mut listing = CloudListing::default();
-    listing.named();
-    listing.list_complete();
+    listing.note_named();
+    listing.finish_list();
     assert!(!listing.is_missing());
-    listing.list_complete();
+    listing.finish_list();
     assert!(listing.is_missing());
-    listing.named();
+    listing.note_named();
     assert!(listing.is_missing());
-    listing.list_complete();
+    listing.finish_list();
     assert!(!listing.is_missing());
 }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -1,5 +1,5 @@
-//! What a machine is told: derived anew each time from what is open on it and from
-//! what its newest report lists.
+//! Commands to workers, derived each time from the machine's open attempts and its newest
+//! report.
 
 use super::{Attempt, Machine, Workers, parse_task_name, task_name};
 use crate::Millis;
@@ -7,11 +7,11 @@
 use crate::pipeline::Jobs;
 use crate::wire::{Command, TaskState};
 
-/// Commands in one answer at most; the rest follow in the next.
-const MAX_COMMANDS: usize = 400;
+/// Maximum number of commands in one message to a worker; the rest follow in the next one.
+const MAX_COMMANDS_PER_MESSAGE: usize = 400;
 
 impl Workers {
-    /// Everything that a machine should be told now, in order.
+    /// Returns the commands that a machine's worker should receive now, in order.
     pub fn commands(&mut self, now: Millis, term: u64, ix: MachineIx, jobs: &Jobs) -> Vec<Command> {
         let Some(machine) = self.machines.get(ix) else {
             return Vec::new();
@@ -30,18 +30,19 @@
             };
             if let Some(command) = command_for(&job.id, attempt) {
                 if matches!(command, Command::Start { .. }) {
-                    attempt.start_sent = Some(now);
+                    attempt.start_sent_at = Some(now);
                 }
                 commands.push(command);
             }
         }
-        // Stops first: whatever has to wait for the next answer, they must not.
+        // Stop commands come first, so that the limit never delays them.
         commands.sort_by_key(|command| !matches!(command, Command::Stop { .. }));
-        commands.truncate(MAX_COMMANDS);
+        commands.truncate(MAX_COMMANDS_PER_MESSAGE);
         commands
     }
 
-    /// What a report is answered with, and so what the next one must show.
+    /// Returns the commands for the answer to a report, and records which effects the next
+    /// report must show.
     pub fn answer_commands(&mut self, now: Millis, term: u64, ix: MachineIx, jobs: &Jobs) -> Vec<Command> {
         let commands = self.commands(now, term, ix, jobs);
         let Some(machine) = self.machines.get_mut(ix) else {
@@ -51,12 +52,12 @@
         machine.expects_effect = machine.fencing_token < term;
         for &open in &machine.open {
             if let Some(attempt) = self.attempts.get_mut(open) {
-                attempt.start_answered = attempt.is_start_due();
-                machine.expects_effect |= attempt.start_answered;
+                attempt.start_in_last_answer = attempt.is_start_due();
+                machine.expects_effect |= attempt.start_in_last_answer;
             }
         }
-        // A machine whose last answers seem to be lost is sent a direct command as well:
-        // where no effect is expected, no report could ever clear the suspicion.
+        // A machine that missed answers also gets a direct command: if this answer calls for
+        // no visible effect, no later report can reset the count of missed answers.
         if machine.missed_answers == 0 {
             self.delivery_due.remove(&ix);
         }
@@ -65,11 +66,11 @@
 }
 
 impl Machine {
-    /// For the tasks that no open attempt stands for: those that run are stopped, and
-    /// those that ended are forgotten once that is safe.
+    /// Adds the commands for tasks that have exited or that match no open attempt: stop
+    /// commands for running ones, and forget commands for exited ones once that is safe.
     fn push_unmatched_commands(&self, term: u64, jobs: &Jobs, commands: &mut Vec<Command>) {
-        // A start that arrives after the worker forgot its attempt would run it again.
-        let forget_safe = !self.has_unconfirmed_start_of(term) && !self.delivery.has_starts_in_flight();
+        // A start command that arrives after the worker forgot the attempt would run it again.
+        let is_forget_safe = !self.has_unconfirmed_start_of(term) && !self.delivery.has_starts_in_flight();
         for unmatched in &self.unmatched_tasks {
             let (task, attempt) = (unmatched.task.clone(), unmatched.attempt);
             if unmatched.state != TaskState::Exited {
@@ -78,14 +79,14 @@
                     attempt,
                     grace_s: 0.0,
                 });
-            } else if forget_safe && is_outcome_written(jobs, &unmatched.task) {
+            } else if is_forget_safe && is_outcome_written(jobs, &unmatched.task) {
                 commands.push(Command::Forget { task, attempt });
             }
         }
     }
 }
 
-/// The command that an open attempt calls for, if any.
+/// Returns the command to send for an open attempt, if it needs one.
 pub fn command_for(job: &str, attempt: &Attempt) -> Option<Command> {
     let task = task_name(job, attempt.task);
     match (attempt.observed_state, attempt.stop_grace_s) {
@@ -93,8 +94,8 @@
             task,
             attempt: attempt.number,
         }),
-        // Not yet seen and not wanted any more: nothing is sent until it shows
-        // up or is proven never to start.
+        // The attempt is not listed and no longer wanted. Nothing is sent until a report
+        // lists it or proves that it never starts.
         (None, Some(_)) => None,
         (Some(TaskState::Saving), Some(grace_s)) if grace_s > 0.0 => None,
         (Some(_), Some(grace_s)) => Some(Command::Stop {
@@ -106,8 +107,8 @@
     }
 }
 
-/// Nothing about this task waits to be written, so that the worker may
-/// forget how its attempt ended.
+/// Whether everything about this task is written to the state service, so that the worker
+/// may forget how its attempt ended.
 fn is_outcome_written(jobs: &Jobs, task: &str) -> bool {
     let Some((job, number)) = parse_task_name(task) else {
         return true;
--- a/src/workers/delivery.rs
+++ b/src/workers/delivery.rs
@@ -1,20 +1,21 @@
-//! Commands sent straight to a worker, beside the answers to its reports.
+//! Delivery of commands that are sent directly to a worker rather than in the answer to a
+//! report.
 
 use crate::Millis;
 
-/// The state of the direct commands to one machine.
+/// State of the direct commands to one machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Delivery {
-    /// Sent, and neither answered nor given up yet.
+    /// Whether commands have been sent that were neither answered nor given up yet.
     pub in_flight: bool,
-    /// Among the last ones sent was a start.
+    /// Whether the last commands sent included a start command.
     pub has_starts: bool,
-    /// Nothing more is sent before this time, after one that failed.
+    /// Earliest time for the next commands after a failed delivery.
     pub not_before: Millis,
 }
 
 impl Delivery {
-    /// A start that may arrive at any time is on its way.
+    /// Whether a start command is in flight and may arrive at any time.
     pub fn has_starts_in_flight(&self) -> bool {
         self.in_flight && self.has_starts
     }
--- a/src/workers/drain.rs
+++ b/src/workers/drain.rs
@@ -1,17 +1,17 @@
-//! Draining machines that the cloud is about to take away.
+//! Draining of spot machines that the cloud is about to reclaim.
 
 use super::{Attempt, Workers};
 use crate::Millis;
 use crate::pipeline::Jobs;
 use crate::wire::{JobSpec, TaskState};
 
-/// Time for a stop command to arrive and its end to be reported.
-const MARGIN_S: f64 = 3.0;
+/// Seconds allowed for a stop command to arrive and for the end of the attempt to be reported.
+const STOP_MARGIN_S: f64 = 3.0;
 
 impl Workers {
-    /// On machines that the cloud is about to take: tasks that can save do so
-    /// as late as is safe; those that can't finish in time end now, so that
-    /// they start again elsewhere the sooner.
+    /// Stops tasks on machines that the cloud is about to reclaim. Tasks that can save their
+    /// progress are stopped as late as is safe. Tasks that can neither save nor finish in time
+    /// are stopped immediately, so that they restart elsewhere sooner.
     pub fn drain(&mut self, now: Millis, jobs: &Jobs) {
         for (ix, machine) in self.machines.iter() {
             let Some(spot_reclaim_at) = machine.spot_reclaim_at else {
@@ -38,16 +38,17 @@
 }
 
 impl Attempt {
-    /// The time to save with which it should be stopped now, if its machine goes in
-    /// `left_s` seconds. `None`: it finishes before, or need not be stopped yet.
+    /// Returns the seconds to allow for saving if the attempt should be stopped now, given that
+    /// its machine is reclaimed in `left_s` seconds. Returns `None` if the attempt finishes
+    /// before that or need not be stopped yet.
     fn grace_before_reclaim(&self, now: Millis, spec: &JobSpec, left_s: f64) -> Option<f64> {
-        let finishes = spec.estimate_s - self.ran_s(now) < left_s;
-        let saves = spec.checkpoint_s > 0.0 && self.observed_state == Some(TaskState::Running);
-        if saves && spec.save_s < left_s {
-            let can_wait = left_s > spec.save_s + MARGIN_S;
+        let finishes_in_time = spec.estimate_s - self.observed_running_s(now) < left_s;
+        let can_save = spec.checkpoint_s > 0.0 && self.observed_state == Some(TaskState::Running);
+        if can_save && spec.save_s < left_s {
+            let can_wait = left_s > spec.save_s + STOP_MARGIN_S;
             (!can_wait).then_some(spec.save_s)
         } else {
-            (!finishes).then_some(0.0)
+            (!finishes_in_time).then_some(0.0)
         }
     }
 }
--- a/src/workers/image_cache.rs
+++ b/src/workers/image_cache.rs
@@ -1,21 +1,23 @@
-//! The images that a machine holds or fetches, and which of them it drops.
+//! Model of the image cache of a machine: which images it holds or fetches, and which it
+//! evicts.
 
 use super::Machine;
 use crate::ids::ImageIx;
 
 impl Machine {
-    /// Whether the image is there or is being fetched.
+    /// Whether the machine holds the image or is fetching it.
     pub fn holds_image(&self, image: ImageIx) -> bool {
         self.images.iter().any(|&(held, _)| held == image)
     }
 
-    /// Notes that an image is there, dropping the least recently used ones.
+    /// Records the use of an image of `gb` gigabytes. Evicts the least recently used images that
+    /// exceed `cache_gb`, but never the image in use.
     pub fn touch_image(&mut self, image: ImageIx, gb: f64, cache_gb: f64) {
         self.images.retain(|&(held, _)| held != image);
         self.images.push((image, gb));
-        let mut total: f64 = self.images.iter().map(|(_, gb)| gb).sum();
-        while total > cache_gb && self.images.len() > 1 {
-            total -= self.images.remove(0).1;
+        let mut total_gb: f64 = self.images.iter().map(|(_, gb)| gb).sum();
+        while total_gb > cache_gb && self.images.len() > 1 {
+            total_gb -= self.images.remove(0).1;
         }
     }
 }
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -1,4 +1,4 @@
-//! One machine and its worker, as its reports and the cloud's lists show it.
+//! State of one machine and its worker, as known from its reports and the cloud's lists.
 
 use super::{CloudListing, Delivery, FailureRecord};
 use crate::Millis;
@@ -7,87 +7,93 @@
 use crate::resources::Resources;
 use crate::wire::{ListedMachine, MachineState, TaskReport};
 
-/// Reports without effect of the answers before them, after which a machine
-/// gets no more tasks.
+/// Consecutive missed answers after which a machine is cordoned and gets no new tasks. An
+/// answer counts as missed if the next report shows no effect of it.
 pub const MISSED_ANSWERS_TO_CORDON: u32 = 2;
-/// The same, after which it is given up: it is heard, but neither answers nor
-/// commands reach it.
+/// Consecutive missed answers after which a machine is decommissioned: its reports arrive,
+/// but neither answers nor commands reach it.
 pub const MISSED_ANSWERS_TO_DECOMMISSION: u32 = 4;
 
-/// A rented machine with its worker.
+/// A rented machine and the state of its worker.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name in the cloud.
+    /// Name of the machine in the cloud.
     pub name: String,
-    /// Where its worker takes direct commands, once known.
+    /// Address at which the worker accepts direct commands, once known.
     pub address: Option<String>,
-    /// Its type in the cloud's catalogue.
+    /// Machine type from the cloud's catalogue.
     pub type_ix: TypeIx,
-    /// Its zone of the cloud.
+    /// Zone of the cloud in which the machine runs.
     pub zone: ZoneIx,
-    /// Rented at the spot price: the cloud may take it away.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// Its group in the inventory.
+    /// Inventory group under which the machine is written to the state service.
     pub group: Option<GroupIx>,
-    /// The key of its group names it.
+    /// Whether the stored value of the inventory group names the machine.
     pub is_persisted: bool,
-    /// When it was asked of the cloud, as far as is known.
+    /// When the machine was requested from the cloud, estimated if this is not known exactly.
     pub requested_at: Millis,
-    /// Whether the cloud's lists name it.
+    /// Whether the cloud's machine lists name the machine.
     pub cloud_listing: CloudListing,
-    /// The highest agent epoch that its worker reported in.
+    /// Highest agent epoch in which the worker has reported.
     pub agent_epoch: u64,
-    /// The number of its newest report within that epoch.
+    /// Sequence number of the newest report in that agent epoch.
     pub seq: u64,
-    /// Highest fencing token that its worker has been seen to hold.
+    /// Highest fencing token that the worker has reported.
     pub fencing_token: u64,
-    /// Last report that surely was sent in this term: it carried our fencing token, or
-    /// answered a direct command. Anything else may be a late copy.
+    /// When the last report arrived that was provably sent in this term: it carried this
+    /// leader's fencing token or replied to a direct command. Any other report may be a
+    /// delayed copy.
     pub heard_at: Option<Millis>,
-    /// Its next report comes by then at the latest. A later one means that it
-    /// hangs or is cut off, and it gets nothing new to run.
+    /// Latest time at which the next report is expected. After this time the worker may hang
+    /// or be disconnected, so the machine gets no new tasks.
     pub report_due: Millis,
-    /// A direct command since its last report went unanswered.
+    /// Whether a direct command has gone unanswered or undelivered since the last report.
     pub has_unanswered_command: bool,
-    /// Known to have been up at this time, though not heard in this term.
+    /// When the machine was first known to be up, from reports that may have been sent before
+    /// this term.
     pub known_up_at: Option<Millis>,
-    /// The last answer called for something that the next report must show.
+    /// Whether the next report must show an effect of the last answer.
     pub expects_effect: bool,
-    /// Reports in a row that showed no effect of the answer before.
+    /// Number of consecutive reports that did not show the expected effect of the previous
+    /// answer.
     pub missed_answers: u32,
-    /// Last time at which an answer may have renewed its worker's lease.
+    /// Last time at which an answer may have renewed the worker's lease.
     pub answered_at: Millis,
-    /// Highest term under which a direct start went unanswered: it may still
-    /// arrive until the worker has been seen to hold a higher fencing token.
+    /// Highest term in which a direct start command went unanswered; 0 if there is none. The
+    /// command may still arrive until the worker reports a higher fencing token.
     pub unconfirmed_start_term: u64,
-    /// When the cloud takes it away, if it said so.
+    /// When the cloud will reclaim the machine, if the cloud has given notice.
     pub spot_reclaim_at: Option<Millis>,
-    /// Not heard for so long that it counts for nothing until it is again.
+    /// Whether the machine has been unresponsive for so long that it does not count as capacity
+    /// until it reports again.
     pub marked_unresponsive: bool,
-    /// Given up: no new tasks; to be deleted.
+    /// Whether the machine gets no new tasks and is to be deleted.
     pub decommissioned: bool,
-    /// The direct commands to it.
+    /// State of the direct commands to the worker.
     pub delivery: Delivery,
-    /// The peer that relayed its last report.
+    /// Peer controller that relayed the last report; `None` if the report came directly or a
+    /// direct command has failed since.
     pub relayed_by: Option<String>,
-    /// Images it holds or fetches, the latest last, with their sizes.
+    /// Images that the machine holds or fetches, with their sizes in GB. The most recently
+    /// used image comes last.
     pub images: Vec<(ImageIx, f64)>,
-    /// Open attempts placed on it.
+    /// Open attempts placed on the machine.
     pub open: Vec<AttemptIx>,
-    /// Tasks in its newest report that no open attempt stands for.
+    /// Tasks in the newest report that have exited or that match no open attempt.
     pub unmatched_tasks: Vec<TaskReport>,
-    /// What its open attempts take of it.
+    /// Resources reserved for the open attempts.
     pub used: Resources,
-    /// Since when it has had no open attempt, if it has none.
+    /// Since when the machine has had no open attempts; meaningful only if it has none.
     pub idle_since: Millis,
-    /// The failures that count against it.
+    /// Task failures that count against the machine.
     pub failures: FailureRecord,
-    /// Until then it gets no new tasks.
+    /// Time until which the machine gets no new tasks.
     pub cordoned_until: Millis,
 }
 
 impl Machine {
-    /// A machine rented in this way, of which nothing has been heard yet.
+    /// Returns a machine of the given offer that has not reported yet.
     pub fn new(name: &str, offer: Offer, now: Millis) -> Machine {
         Machine {
             name: name.into(),
@@ -125,8 +131,8 @@
         }
     }
 
-    /// May be given new tasks: the inventory names it (a successor must know of
-    /// it), it was heard by this leader, and no fault of it is known.
+    /// Whether the machine may be given new tasks: the stored inventory names it, so that the
+    /// next leader will know of it; it has reported to this leader; and it has no known fault.
     pub fn usable(&self, now: Millis) -> bool {
         self.is_persisted
             && self.heard_at.is_some()
@@ -138,19 +144,19 @@
             && now >= self.cordoned_until
     }
 
-    /// A direct start of this term went unanswered and may still arrive. Only a higher
-    /// term ends that; starts of earlier terms are withdrawn once the worker has seen
-    /// this one.
+    /// Whether a direct start command of this term went unanswered and may still arrive. Only
+    /// a higher term prevents that. The worker rejects start commands of earlier terms once it
+    /// has seen the fencing token of this term.
     pub fn has_unconfirmed_start_of(&self, term: u64) -> bool {
         self.unconfirmed_start_term >= term
     }
 
-    /// When it was last known to be up, in this term or before.
+    /// Returns when the machine was last known to be up, in this term or before.
     pub fn last_known_up_at(&self) -> Option<Millis> {
         self.heard_at.or(self.known_up_at)
     }
 
-    /// How it is rented.
+    /// Returns the type, zone and spot status under which the machine is rented.
     pub fn offer(&self) -> Offer {
         Offer {
             type_ix: self.type_ix,
@@ -159,8 +165,8 @@
         }
     }
 
-    /// Sets the address. Returns the inventory group to be written again, if its key
-    /// has another one.
+    /// Sets the worker's address. If the address changed, returns the inventory group to
+    /// write again.
     pub(super) fn set_address(&mut self, address: &str) -> Option<GroupIx> {
         if self.address.as_deref() == Some(address) {
             return None;
@@ -169,10 +175,10 @@
         self.group
     }
 
-    /// Takes what the cloud's list says of it. Returns the inventory group to be
-    /// written again, if the list told an address that was not known.
+    /// Updates the machine from its entry in the cloud's list. If the entry contains an
+    /// address that was not known, returns the inventory group to write again.
     pub(super) fn note_listed(&mut self, now: Millis, listed: &ListedMachine) -> Option<GroupIx> {
-        self.cloud_listing.named();
+        self.cloud_listing.note_named();
         if self.heard_at.is_none() {
             self.requested_at = now.saturating_sub(crate::millis(listed.age_s));
         }
@@ -180,19 +186,19 @@
             tracing::info!(machine = self.name, "decommissioning a failed machine");
             self.decommissioned = true;
         }
-        // What its reports say is newer than any list.
+        // An address from a report is newer than one from a list.
         match (&self.address, &listed.address) {
             (None, Some(address)) => self.set_address(address),
             _ => None,
         }
     }
 
-    /// An attempt on it is over: what that took is free again.
+    /// Releases the resources of an attempt that has ended.
     pub fn release(&mut self, now: Millis, attempt: AttemptIx, resources: Resources) {
         self.open.retain(|&other| other != attempt);
         self.used.subtract(resources);
         if self.open.is_empty() {
-            // Exactly nothing, whatever the rounding of the sums has left.
+            // Clears rounding errors left by repeated additions and subtractions.
             self.used = Resources::default();
             self.idle_since = now;
         }
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -1,4 +1,4 @@
-//! Merging a report into what is known of its machine and of the attempts there.
+//! Merging of a worker's report into the state of its machine and of the attempts on it.
 
 use super::{
     Attempts, MISSED_ANSWERS_TO_CORDON, Machine, MergeOutcome, MergedReport, ReceivedReport, ReportPath, Workers,
@@ -9,15 +9,16 @@
 use crate::pipeline::Jobs;
 use crate::wire::{Report, TaskReport, TaskState};
 
-/// A report may come this much later than its interval allows for without a
-/// doubt: a worker that lost its controller tries the next one after 5 s.
-const LATE_MS: Millis = 6_000;
+/// How much later than the longest report interval a report may arrive before the machine
+/// counts as late. A worker that loses its controller tries the next one after 5 s.
+const REPORT_DELAY_TOLERANCE_MS: Millis = 6_000;
 
-/// Ended tasks that a machine may have to list because one start is in doubt.
+/// Number of ended tasks in a machine's report at which the leader raises its term. While a
+/// start command may still arrive, the worker must not forget its ended tasks.
 pub(crate) const MAX_LISTED_ENDED_TASKS: usize = 40;
 
 impl Workers {
-    /// Why a report is rejected before anything is learned from it; `None` if it is not.
+    /// Returns why a report must be rejected before it is merged; `None` if it is acceptable.
     pub fn reject_report(&self, report: &Report, term: u64) -> Option<MergeOutcome> {
         if report.fencing_token > term {
             return Some(MergeOutcome::HigherFencingToken);
@@ -26,7 +27,7 @@
             .then_some(MergeOutcome::MachineDeleted)
     }
 
-    /// Merges a report of a known machine that was not rejected.
+    /// Merges the report of a known machine. [`Workers::reject_report`] must have accepted it.
     pub fn merge_report(&mut self, ix: MachineIx, received: ReceivedReport<'_>, jobs: &Jobs) -> MergedReport {
         let Some(machine) = self.machines.get_mut(ix) else {
             return MergedReport::new(MergeOutcome::MachineDeleted);
@@ -36,18 +37,18 @@
         }
         let mut merged = MergedReport::new(MergeOutcome::Newest(ix));
         merged.group_to_rewrite = machine.set_address(&received.report.address);
-        self.note_machine(ix, received);
+        self.update_machine(ix, received);
         let listed = self.match_tasks(ix, received, jobs, &mut merged);
-        let lacks_start = self.observe_missing(ix, received, &listed, jobs, &mut merged);
-        let shows_no_effect = lacks_start || received.report.fencing_token < received.term;
-        self.count_missed_answers(ix, received.path, shows_no_effect);
+        let start_is_missing = self.handle_missing_attempts(ix, received, &listed, jobs, &mut merged);
+        let answer_had_no_effect = start_is_missing || received.report.fencing_token < received.term;
+        self.count_missed_answers(ix, received.path, answer_had_no_effect);
         self.limit_ended_tasks(ix, received.term);
         merged
     }
 
-    /// What a report says of the machine itself.
-    fn note_machine(&mut self, ix: MachineIx, received: ReceivedReport<'_>) {
-        let report_due = received.now + crate::millis(self.longest_report_interval_s()) + LATE_MS;
+    /// Updates the state of the machine itself from its report.
+    fn update_machine(&mut self, ix: MachineIx, received: ReceivedReport<'_>) {
+        let report_due = received.now + crate::millis(self.longest_report_interval_s()) + REPORT_DELAY_TOLERANCE_MS;
         let Some(machine) = self.machines.get_mut(ix) else {
             return;
         };
@@ -56,7 +57,7 @@
         machine.agent_epoch = report.agent_epoch;
         machine.seq = report.seq;
         machine.fencing_token = machine.fencing_token.max(report.fencing_token);
-        if received.is_of_this_term() {
+        if received.is_from_current_term() {
             self.capacity_changed |= machine.heard_at.is_none();
             machine.note_heard(received.now, report_due);
         } else {
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Finds the open attempt that each task of a report belongs to, and takes its
-    /// state. Returns the attempts that were found.
+    /// Finds the open attempt for each task that a report lists, and records its state.
+    /// Returns the attempts that were found.
     fn match_tasks(
         &mut self,
         ix: MachineIx,
@@ -84,8 +85,8 @@
         };
         machine.unmatched_tasks.clear();
         for task in &report.tasks {
-            let found = self.attempts.find_listed(machine, task, jobs, merged);
-            // What has ended stays listed until the worker is told to forget it.
+            let found = self.attempts.find_open(machine, task, jobs, merged);
+            // The worker lists exited tasks until it receives a forget command.
             if found.is_none() || task.state == TaskState::Exited {
                 machine.unmatched_tasks.push(task.clone());
             }
@@ -99,39 +100,39 @@
         listed
     }
 
-    /// Counts the reports in a row that show that answers do not reach the worker.
-    fn count_missed_answers(&mut self, ix: MachineIx, path: ReportPath, shows_no_effect: bool) {
+    /// Counts the consecutive reports that indicate that answers do not reach the worker.
+    fn count_missed_answers(&mut self, ix: MachineIx, path: ReportPath, answer_had_no_effect: bool) {
         let Some(machine) = self.machines.get_mut(ix) else {
             return;
         };
         if path == ReportPath::CommandReply || std::mem::take(&mut machine.expects_effect) {
             machine.missed_answers = match path {
-                ReportPath::Heartbeat if shows_no_effect => machine.missed_answers + 1,
+                ReportPath::Heartbeat if answer_had_no_effect => machine.missed_answers + 1,
                 _ => 0,
             };
         }
         if machine.missed_answers > 0 {
-            // An answer to a direct command clears it at once.
+            // The reply to a direct command resets the count.
             self.delivery_due.insert(ix);
         }
     }
 
-    /// A start of this term that may still arrive keeps ended tasks listed, and
-    /// reports may not grow without end.
+    /// Requests a higher term if a machine has to list too many ended tasks because a start
+    /// command of this term may still arrive. This bounds the size of reports.
     fn limit_ended_tasks(&mut self, ix: MachineIx, term: u64) {
         self.needs_higher_term |= self.machines.get(ix).is_some_and(|machine| {
-            machine.has_unconfirmed_start_of(term) && machine.unmatched_ended_tasks() >= MAX_LISTED_ENDED_TASKS
+            machine.has_unconfirmed_start_of(term) && machine.count_unmatched_ended_tasks() >= MAX_LISTED_ENDED_TASKS
         });
     }
 }
 
 impl Machine {
-    /// Whether a report was sent after all that were merged before.
+    /// Whether a report was sent after all reports merged so far.
     fn is_newer(&self, report: &Report) -> bool {
         (report.agent_epoch, report.seq) > (self.agent_epoch, self.seq)
     }
 
-    /// Its worker was heard in this term.
+    /// Records that the worker provably sent a report in this term.
     fn note_heard(&mut self, now: Millis, report_due: Millis) {
         if self.heard_at.is_none() {
             self.idle_since = now;
@@ -141,19 +142,21 @@
         self.has_unanswered_command = false;
     }
 
-    /// Its worker dropped all tasks and began anew: it started again, or its lease ran out.
+    /// Handles a new agent epoch: the worker restarted or its lease expired, and it dropped
+    /// all its tasks.
     fn begin_agent_epoch(&mut self, received: ReceivedReport<'_>, lease_expiry_ms: Millis) {
         let answered_lately = received.now < self.answered_at + lease_expiry_ms / 2;
         if received.path == ReportPath::Heartbeat && self.heard_at.is_some() && answered_lately {
-            // Its lease ran out although it was answered: not by us, then.
+            // The lease expired although this leader sent answers, so they do not arrive.
             self.missed_answers += MISSED_ANSWERS_TO_CORDON;
         }
         self.unconfirmed_start_term = 0;
-        // An agent epoch has its whole lease from its beginning, answered or not.
+        // A new agent epoch starts with a full lease, even before the first answer.
         self.answered_at = self.answered_at.max(received.now);
     }
 
-    fn unmatched_ended_tasks(&self) -> usize {
+    /// Returns the number of exited tasks in the newest report.
+    fn count_unmatched_ended_tasks(&self) -> usize {
         let ended = self
             .unmatched_tasks
             .iter()
@@ -163,9 +166,9 @@
 }
 
 impl Attempts {
-    /// The open attempt that a task in its machine's report belongs to. One that the
-    /// same report has already proven over is not open any more.
-    fn find_listed(
+    /// Finds the open attempt for a task in its machine's report. Excludes attempts that the
+    /// same report has already shown to have ended.
+    fn find_open(
         &self,
         machine: &Machine,
         listed: &TaskReport,
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,13 +1,20 @@
-//! Machines and the attempts on them: merging reports, proving attempts over,
-//! deriving commands.
+//! Machines and the attempts on them: merging of reports, detection of ended attempts and
+//! derivation of commands.
 //!
-//! An attempt stays open, and counts against its team and its machine, until it
-//! is proven over: listed as ended by the newest report, its agent epoch gone, its
-//! machine deleted, its worker's lease surely expired, or, if it is not wanted any more,
-//! no start of it can still arrive. Commands are always
-//! derived from what is open, so repeating them needs no memory of its own.
+//! An attempt stays open, and counts against its team's quota and its machine's resources,
+//! until there is proof that it has ended. One of the following is proof:
 //!
-//! What changes other slices is returned as effects, for the shard to apply.
+//! - the newest report lists the attempt as exited,
+//! - the worker has begun a later agent epoch,
+//! - the machine is deleted,
+//! - the worker's lease has certainly expired,
+//! - the attempt is no longer wanted, and no start command for it can still arrive.
+//!
+//! Commands are always derived from the open attempts and the newest report, so repeating them
+//! requires no additional state.
+//!
+//! Consequences for other parts of the shard's state are returned as values, which the shard
+//! applies.
 
 mod absence;
 mod attempt;
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -1,4 +1,4 @@
-//! The machines and open attempts that the leader knows of.
+//! Registry of the machines and open attempts known to the leader.
 
 use super::{Attempts, EndedAttempt, Machine, Outcome};
 use crate::Millis;
@@ -7,37 +7,39 @@
 use crate::wire::{ListedMachine, MachineState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Workers report every `report_s`, give or take a quarter.
-const LONGEST_REPORT_INTERVAL: f64 = 1.25;
+/// Longest report interval relative to `report_s`: workers vary it by up to a quarter.
+const LONGEST_REPORT_INTERVAL_FACTOR: f64 = 1.25;
 
-/// Machines deleted are remembered this long, since lists and reports lag.
-const TOMBSTONE_MS: Millis = 120_000;
+/// How long deleted machines are remembered, since lists and reports that name them may arrive
+/// late.
+const TOMBSTONE_TTL_MS: Millis = 120_000;
 
-/// All machines with what is open on them, and what their workers have to be told.
+/// All machines, the open attempts on them, and the state shared by all of them.
 #[derive(Debug)]
 pub struct Workers {
-    /// The machines, by name and index.
+    /// Machines, by name and index.
     pub machines: Table<MachineIx, Machine>,
-    /// The open attempts on them.
+    /// Open attempts on these machines.
     pub attempts: Attempts,
-    /// Machines deleted lately, by name, and when.
+    /// Times of deletion of recently deleted machines, by machine name.
     pub tombstones: BTreeMap<String, Millis>,
-    /// Machines that have something new to be told.
+    /// Machines whose commands should be sent directly, without waiting for their next report.
     pub delivery_due: BTreeSet<MachineIx>,
-    /// How often workers report.
+    /// Mean interval between the reports of a worker, in seconds.
     pub report_s: f64,
-    /// After this much time without an answer a worker has dropped its tasks.
+    /// Time without an answer after which a worker has certainly dropped its tasks.
     pub lease_expiry_ms: Millis,
-    /// Since when the leader has taken reports without a break.
+    /// Since when the leader has received reports without interruption.
     pub receiving_reports_since: Millis,
-    /// Something happened since the last round that placement depends on.
+    /// Whether anything that placement depends on has changed since the last placement round.
     pub capacity_changed: bool,
-    /// Starts that may still arrive have to be withdrawn by a higher term.
+    /// Whether the leader has to raise its term, so that workers reject start commands that may
+    /// still arrive.
     pub needs_higher_term: bool,
 }
 
 impl Workers {
-    /// No machines yet.
+    /// Returns an empty registry with the timings from the settings.
     pub fn new(settings: &Settings) -> Workers {
         Workers {
             machines: Table::default(),
@@ -52,19 +54,19 @@
         }
     }
 
-    /// The longest time between two reports of a worker that is well.
+    /// Returns the longest time between two reports of a healthy worker, in seconds.
     pub fn longest_report_interval_s(&self) -> f64 {
-        self.report_s * LONGEST_REPORT_INTERVAL
+        self.report_s * LONGEST_REPORT_INTERVAL_FACTOR
     }
 
-    /// Whether the machine of this name was deleted so lately that lists and reports
-    /// may still speak of it.
+    /// Whether the machine of this name was deleted so recently that lists and reports may still
+    /// name it.
     pub fn was_recently_deleted(&self, name: &str) -> bool {
         self.tombstones.contains_key(name)
     }
 
-    /// A machine is deleted. Returns what was known of it; its index may be given to
-    /// another.
+    /// Removes a deleted machine and returns its last state. Its index may be reused for another
+    /// machine.
     pub fn remove_machine(&mut self, now: Millis, name: &str) -> Option<Machine> {
         let ix = self.machines.find(name)?;
         self.delivery_due.remove(&ix);
@@ -72,30 +74,30 @@
         self.machines.remove(name)
     }
 
-    /// Forgets deletions that no list or report can lag behind any more.
+    /// Forgets deletions that are too old for a late list or report to name the machine.
     pub fn expire_tombstones(&mut self, now: Millis) {
-        self.tombstones.retain(|_, &mut at| now < at + TOMBSTONE_MS);
+        self.tombstones.retain(|_, &mut at| now < at + TOMBSTONE_TTL_MS);
     }
 
-    /// The cloud's list names a known machine. Returns the inventory group whose key
-    /// lacks the address that the list told, if there is one.
+    /// Updates a known machine from its entry in the cloud's list. If the entry contains an
+    /// address that was not known, returns the inventory group to write again.
     pub fn note_listed(&mut self, now: Millis, ix: MachineIx, listed: &ListedMachine) -> Option<GroupIx> {
         let machine = self.machines.get_mut(ix)?;
         if listed.state == MachineState::Running && machine.heard_at.is_none() {
-            // Asked directly: its answer shows that it is up.
+            // The reply to a direct command shows that the machine is up.
             self.delivery_due.insert(ix);
         }
         machine.note_listed(now, listed)
     }
 
-    /// The last page of the cloud's list was read.
+    /// Updates all machines after the last page of the cloud's list was read.
     pub fn finish_cloud_list(&mut self) {
         for (_, machine) in self.machines.iter_mut() {
-            machine.cloud_listing.list_complete();
+            machine.cloud_listing.finish_list();
         }
     }
 
-    /// Attempts on machines whose worker's lease has surely expired.
+    /// Returns the attempts that have ended because their worker's lease has certainly expired.
     pub fn expired_attempts(&self, now: Millis) -> Vec<EndedAttempt> {
         let mut expired = Vec::new();
         for (_, machine) in self.machines.iter() {
--- a/src/workers/report.rs
+++ b/src/workers/report.rs
@@ -1,67 +1,68 @@
-//! A report that came in, and what became of it.
+//! A received report and the result of merging it.
 
 use super::{EndedAttempt, Outcome};
 use crate::Millis;
 use crate::ids::{AttemptIx, ChunkId, GroupIx, MachineIx};
 use crate::wire::Report;
 
-/// How a report came.
+/// How a report reached the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportPath {
-    /// By itself: it may be a copy, seconds or minutes late.
+    /// The worker sent it on its own. It may be a copy that is delayed by seconds or minutes.
     Heartbeat,
-    /// As the answer to a direct command of this term.
+    /// The worker sent it in reply to a direct command of this term.
     CommandReply,
 }
 
-/// A report, with how and when this leader received it.
+/// A report with the circumstances in which this leader received it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedReport<'a> {
-    /// What the worker sent.
+    /// Report as the worker sent it.
     pub report: &'a Report,
-    /// How it came.
+    /// How the report reached the leader.
     pub path: ReportPath,
-    /// When it came.
+    /// When the report was received.
     pub now: Millis,
-    /// The leader's term.
+    /// Current term of the leader.
     pub term: u64,
 }
 
 impl ReceivedReport<'_> {
-    /// Surely sent in this term, and no late copy.
-    pub fn is_of_this_term(&self) -> bool {
+    /// Whether the report was certainly sent in the current term and is no delayed copy of an
+    /// earlier one.
+    pub fn is_from_current_term(&self) -> bool {
         self.path == ReportPath::CommandReply || self.report.fencing_token == self.term
     }
 }
 
-/// What became of a report.
+/// Result of merging a report.
 #[derive(Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The newest of its machine.
+    /// The report is the newest of this machine and was merged.
     Newest(MachineIx),
-    /// Older than one already merged: its task list means nothing now.
+    /// The report is older than one that was already merged, so its task list is ignored.
     Stale,
-    /// Its worker has seen a fencing token above ours: somebody else is the leader.
+    /// The worker has seen a higher fencing token than this leader's: there is a newer leader.
     HigherFencingToken,
-    /// From a machine already deleted.
+    /// The machine has already been deleted.
     MachineDeleted,
 }
 
-/// A merged report, with what follows for others than its machine.
+/// Result of merging a report, with its consequences outside the state of the machine.
 #[derive(Debug, PartialEq, Eq)]
 pub struct MergedReport {
-    /// What became of the report.
+    /// Whether the report was merged, and if not, why.
     pub outcome: MergeOutcome,
-    /// The inventory group whose key lacks the machine's new address.
+    /// Inventory group to write again because the machine's address changed.
     pub group_to_rewrite: Option<GroupIx>,
-    /// Attempts that it proves over, to be closed in this order.
+    /// Attempts that have ended according to the report, in the order in which to close them.
     pub ended: Vec<EndedAttempt>,
-    /// Chunks that hold records of attempts withdrawn now.
+    /// Chunks to write again because records of attempts in them were withdrawn.
     pub chunks_to_rewrite: Vec<ChunkId>,
 }
 
 impl MergedReport {
-    /// Nothing follows from the report yet.
+    /// Returns a result without consequences.
     pub(super) fn new(outcome: MergeOutcome) -> MergedReport {
         MergedReport {
             outcome,
@@ -71,10 +72,12 @@
         }
     }
 
+    /// Adds an attempt that has ended according to the report.
     pub(super) fn end(&mut self, attempt: AttemptIx, outcome: Outcome) {
         self.ended.push(EndedAttempt { attempt, outcome });
     }
 
+    /// Whether the report has already shown that this attempt has ended.
     pub(super) fn has_ended(&self, attempt: AttemptIx) -> bool {
         self.ended.iter().any(|ended| ended.attempt == attempt)
     }
--- a/src/workers/task_name.rs
+++ b/src/workers/task_name.rs
@@ -1,11 +1,12 @@
-//! The names of tasks on the wire.
+//! Names of tasks in the worker protocol.
 
-/// `job/task` as the protocol writes it.
+/// Returns the name of a task in the form `job/task`.
 pub fn task_name(job: &str, task: u32) -> String {
     format!("{job}/{task}")
 }
 
-/// The job and the task's number within it, if the name is one of a task.
+/// Parses a task name into the job and the number of the task within it. Returns `None` if the
+/// name is not of the form `job/task`.
 pub fn parse_task_name(name: &str) -> Option<(&str, u32)> {
     let (job, task) = name.rsplit_once('/')?;
     Some((job, task.parse().ok()?))
