--- a/src/persistence/clean_ups.rs
+++ b/src/persistence/clean_ups.rs
@@ -1,4 +1,4 @@
-//! Ended jobs: the keys of their chunks are removed, and at last the job's own key.
+//! Removal of the keys of ended jobs: first the keys of their chunks, then the job's own key.
 
 use super::next_transaction::Draft;
 use super::transaction_builder::{DELETE_BYTES, TransactionBuilder};
@@ -7,17 +7,18 @@
 use crate::pipeline::{Chunk, Job};
 use crate::store::Keys;
 
-/// What one transaction removes of a job.
+/// The keys of one job that one transaction removes.
 #[derive(Debug)]
 pub(super) struct CleanUp {
     pub job: JobIx,
-    /// The chunks whose keys go, by their numbers.
+    /// Numbers of the chunks whose keys are removed.
     chunks: Vec<u32>,
-    /// The job's own key goes as well: nothing is left of it.
+    /// Whether the job's own key is removed as well, so that no key of the job remains.
     removes_job: bool,
 }
 
 impl PendingWrites {
+    /// Adds the removal of the keys of ended jobs that have no open attempts.
     pub(super) fn add_clean_ups(&mut self, context: &WriteContext<'_>, draft: &mut Draft<'_>) {
         for ix in self.clean_ups.clone() {
             self.clean_ups.remove(&ix);
@@ -26,14 +27,16 @@
                 continue;
             };
             let clean_up = add_clean_up(ix, job, draft.keys, &mut draft.builder);
-            let is_last_part = clean_up.removes_job;
+            let is_complete = clean_up.removes_job;
             draft.content.clean_ups.push(clean_up);
-            if !is_last_part {
+            if !is_complete {
                 return;
             }
         }
     }
 
+    /// Records that these keys were removed. Queues the rest of a job whose keys did not all fit
+    /// into the transaction.
     pub(super) fn clean_ups_committed(
         &mut self,
         clean_ups: &[CleanUp],
@@ -56,7 +59,7 @@
     }
 }
 
-/// Removes as many keys of the job as there is space for.
+/// Adds the removal of as many keys of the job as fit into the transaction.
 fn add_clean_up(ix: JobIx, job: &Job, keys: &Keys, builder: &mut TransactionBuilder) -> CleanUp {
     let mut chunks = Vec::new();
     for (number, chunk) in written_chunks(job) {
@@ -78,7 +81,7 @@
     }
 }
 
-/// The chunks that have a key, with their numbers.
+/// Iterates over the chunks that have a key, with their numbers.
 fn written_chunks(job: &Job) -> impl Iterator<Item = (u32, &Chunk)> {
     let chunks = (0..).zip(&job.chunks);
     chunks.filter(|(_, chunk)| chunk.version > 0)
--- a/src/persistence/context.rs
+++ b/src/persistence/context.rs
@@ -1,19 +1,20 @@
-//! What transactions are built from.
+//! State from which transactions are built.
 
 use crate::fleet::Inventory;
 use crate::pipeline::Jobs;
 use crate::topology::Topology;
 use crate::workers::Workers;
 
-/// The state whose changes are written. It notes what is in flight and what is written.
+/// References to the state whose changes are written. Building a transaction marks parts
+/// of this state as in flight, and its commit marks them as written.
 #[derive(Debug)]
 pub struct WriteContext<'a> {
-    /// The jobs with their chunks of tasks.
+    /// Jobs with their chunks of tasks.
     pub jobs: &'a mut Jobs,
-    /// The machines and the attempts on them.
+    /// Machines and the attempts on them.
     pub workers: &'a mut Workers,
-    /// The groups under which machines are written.
+    /// Inventory groups under which machines are written.
     pub inventory: &'a mut Inventory,
-    /// The names of types and zones.
+    /// Names of machine types and zones.
     pub topology: &'a Topology,
 }
--- a/src/persistence/in_flight.rs
+++ b/src/persistence/in_flight.rs
@@ -1,4 +1,4 @@
-//! The transaction in flight and what it stands for.
+//! The transaction in flight and the changes that it contains.
 
 use super::AnsweredRequest;
 use super::clean_ups::CleanUp;
@@ -9,20 +9,20 @@
 use crate::wire::Transaction;
 use std::sync::Arc;
 
-/// A transaction that is sent and not known to be applied or not.
+/// A transaction that has been sent and whose result is not known yet.
 #[derive(Debug)]
 pub struct InFlight {
-    /// Sent again as it is until it is answered.
+    /// The transaction, which is sent again unchanged until it is answered.
     pub transaction: Arc<Transaction>,
-    /// When it was first sent.
+    /// When the transaction was first sent.
     pub sent: Millis,
-    /// A copy went unanswered.
+    /// Whether a copy of the transaction went unanswered.
     unanswered: bool,
     pub(super) content: Content,
 }
 
 impl InFlight {
-    /// A transaction that is about to be sent.
+    /// Returns the state of a transaction that is about to be sent.
     pub(super) fn new(transaction: Arc<Transaction>, now: Millis, content: Content) -> InFlight {
         InFlight {
             transaction,
@@ -32,18 +32,18 @@
         }
     }
 
-    /// A copy went unanswered: it may have been applied, or may yet be.
+    /// Records that a copy went unanswered: it may have been applied or may still be.
     pub fn note_unanswered(&mut self) {
         self.unanswered = true;
     }
 
-    /// Whether an earlier copy may have been applied.
+    /// Whether a copy that went unanswered may have been applied.
     pub fn may_be_applied(&self) -> bool {
         self.unanswered
     }
 }
 
-/// What a transaction writes, by kind of change.
+/// The changes in a transaction, by kind.
 #[derive(Debug, Default)]
 pub(super) struct Content {
     pub chunks: Vec<ChunkId>,
--- a/src/persistence/inventory_groups.rs
+++ b/src/persistence/inventory_groups.rs
@@ -1,4 +1,4 @@
-//! Groups of the inventory: the machines that a successor must know of.
+//! Writing the groups of the inventory, from which the next leader learns of the machines.
 
 use super::WriteContext;
 use super::next_transaction::Draft;
@@ -10,30 +10,33 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
+/// Estimated size of a group's change, without its members.
 const GROUP_BYTES: usize = 100;
+/// Estimated size of one member in a group's value.
 const MEMBER_BYTES: usize = 120;
 
-/// A group in the transaction in flight.
+/// An inventory group that the transaction in flight writes or removes.
 #[derive(Debug)]
 pub(super) struct WrittenGroup {
     group: GroupIx,
-    /// The machines that its value names, by name: an index may be another machine's by
-    /// the time of the answer. None if its key is removed.
+    /// Names of the machines in the group's value; empty if its key is removed. Names are used
+    /// because an index may belong to another machine when the transaction is answered.
     machines: Vec<String>,
 }
 
-/// Groups with machines that can't be used until they are written.
+/// Adds the groups with machines that cannot be used until they are written.
 pub(super) fn add_urgent_groups(context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
     let due = context.inventory.due(DueGroups::Urgent);
     add_groups(due, context, draft);
 }
 
-/// All groups whose keys do not say what they should.
+/// Adds all groups whose stored values are out of date.
 pub(super) fn add_all_groups(context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
     let due = context.inventory.due(DueGroups::All);
     add_groups(due, context, draft);
 }
 
+/// Adds these groups while the transaction has space.
 fn add_groups(due: BTreeSet<GroupIx>, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
     for ix in due {
         let Some(group) = context.inventory.group(ix) else {
@@ -54,6 +57,7 @@
     }
 }
 
+/// Adds the change that writes a group, or removes its key if it has no machines.
 fn add_group(
     ix: GroupIx,
     group: &Group,
@@ -62,12 +66,14 @@
     draft: &mut Draft<'_>,
 ) -> WrittenGroup {
     let key = draft.keys.inventory(&group.name);
-    let machines: Vec<&Machine> = machines_of(group, context.workers).collect();
+    let machines: Vec<&Machine> = group_machines(group, context.workers).collect();
     if machines.is_empty() {
         draft.builder.delete(key, group.version);
     } else {
         draft.builder.require(key.clone(), group.version);
-        let members = machines.iter().map(|machine| member(machine, context.topology));
+        let members = machines
+            .iter()
+            .map(|machine| inventory_member(machine, context.topology));
         let value = GroupValue {
             machines: members.collect(),
         };
@@ -79,11 +85,13 @@
     }
 }
 
-fn machines_of<'a>(group: &'a Group, workers: &'a Workers) -> impl Iterator<Item = &'a Machine> {
+/// Iterates over the machines of a group.
+fn group_machines<'a>(group: &'a Group, workers: &'a Workers) -> impl Iterator<Item = &'a Machine> {
     group.members.iter().filter_map(|&ix| workers.machines.get(ix))
 }
 
-fn member(machine: &Machine, topology: &Topology) -> InventoryMember {
+/// Returns the stored form of a machine.
+fn inventory_member(machine: &Machine, topology: &Topology) -> InventoryMember {
     InventoryMember {
         name: machine.name.clone(),
         machine_type: topology.types.name(machine.type_ix).to_owned(),
@@ -93,7 +101,7 @@
     }
 }
 
-/// The keys of these groups say what was written.
+/// Records that the values of these groups were written at `revision`.
 pub(super) fn groups_committed(groups: Vec<WrittenGroup>, context: &mut WriteContext<'_>, revision: u64) {
     for WrittenGroup { group: ix, machines } in groups {
         if machines.is_empty() {
@@ -102,19 +110,20 @@
         }
         context.inventory.written(ix, revision);
         for name in machines {
-            mark_written(&name, context.workers);
+            mark_persisted(&name, context.workers);
         }
     }
 }
 
-fn mark_written(name: &str, workers: &mut Workers) {
+/// Records that the stored inventory names this machine, if it still exists.
+fn mark_persisted(name: &str, workers: &mut Workers) {
     let ix: Option<MachineIx> = workers.machines.find(name);
     if let Some(machine) = ix.and_then(|ix| workers.machines.get_mut(ix)) {
         machine.is_persisted = true;
     }
 }
 
-/// The keys of these groups are as they were.
+/// Queues these groups again, since their values were not written.
 pub(super) fn groups_not_applied(groups: &[WrittenGroup], context: &mut WriteContext<'_>) {
     context
         .inventory
--- a/src/persistence/machine_requests.rs
+++ b/src/persistence/machine_requests.rs
@@ -1,5 +1,5 @@
-//! Machine requests: written before the cloud is asked, and removed once it answered and
-//! the machines are written.
+//! Records of machine requests, which are written before a request is sent to the cloud and
+//! removed once the cloud has answered and the new machines are written.
 
 use super::next_transaction::Draft;
 use super::transaction_builder::DELETE_BYTES;
@@ -8,19 +8,20 @@
 use crate::wire::Change;
 use serde_json::json;
 
+/// Estimated size of the change that writes a machine request.
 const REQUEST_BYTES: usize = 200;
 
-/// A machine request that may be sent to the cloud.
+/// A machine request that is written and may be sent to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WrittenRequest {
-    /// What is asked for.
+    /// The request as it is stored.
     pub record: MachineRequestRecord,
-    /// The version of its key.
+    /// Version of the request's key.
     pub version: u64,
 }
 
 impl WrittenRequest {
-    /// The requests that one transaction has written.
+    /// Returns the requests that one transaction has written, all at the same version.
     pub(super) fn all(records: Vec<MachineRequestRecord>, version: u64) -> Vec<WrittenRequest> {
         let requests = records.into_iter();
         requests.map(|record| WrittenRequest { record, version }).collect()
@@ -30,13 +31,14 @@
 /// A machine request that the cloud has answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnsweredRequest {
-    /// Its name.
+    /// Name of the request.
     pub request: String,
-    /// The version of its key.
+    /// Version of the request's key.
     pub version: u64,
 }
 
 impl PendingWrites {
+    /// Adds the records of new machine requests while the transaction has space.
     pub(super) fn add_machine_requests(&mut self, draft: &mut Draft<'_>) {
         while draft.builder.has_space(1, REQUEST_BYTES) {
             let Some(record) = self.machine_requests.pop_front() else {
@@ -49,7 +51,8 @@
         }
     }
 
-    /// A machine request's key goes only after the machines it brought are written.
+    /// Adds the removal of the keys of answered machine requests. A key is removed only after
+    /// the machines that the cloud created for the request are written.
     pub(super) fn add_answered_requests(&mut self, context: &WriteContext<'_>, draft: &mut Draft<'_>) {
         while !context.inventory.has_urgent() && draft.builder.has_space(1, DELETE_BYTES) {
             let Some(answered) = self.answered_requests.pop_front() else {
--- a/src/persistence/mod.rs
+++ b/src/persistence/mod.rs
@@ -1,12 +1,13 @@
-//! What must be written to the state service next, and the transactions that write it.
+//! Queue of the changes to write to the state service, and the transactions that write them.
 //!
-//! One transaction is in flight at a time. Each carries the leader's claim and
-//! the version of every key it changes, so that a copy applied late, or sent by
-//! a former leader, changes nothing.
+//! At most one transaction is in flight. Each transaction is conditional on the leader's claim
+//! and on the version of every key that it changes, so a copy that arrives late or comes from a
+//! former leader changes nothing.
 //!
-//! [`PendingWrites`] holds what is due. Each kind of change has a module that adds it to
-//! a transaction, and takes note once that transaction is committed or known not to be
-//! applied. What follows for others is returned as [`CommitEffects`].
+//! [`PendingWrites`] holds the queued changes. For each kind of change, a module adds it to a
+//! transaction and updates the state once that transaction is known to be committed or not
+//! applied. Consequences for other parts of the shard's state are returned as
+//! [`CommitEffects`].
 
 mod clean_ups;
 mod context;
--- a/src/persistence/next_transaction.rs
+++ b/src/persistence/next_transaction.rs
@@ -1,5 +1,5 @@
-//! Puts the next transaction together: first what work or users wait for, then, in what
-//! is left of the write rate, the rest.
+//! Building of the next transaction: first the urgent changes, which tasks or users wait for,
+//! then deferrable changes as far as the write rate permits.
 
 use super::in_flight::Content;
 use super::inventory_groups::{add_all_groups, add_urgent_groups};
@@ -10,17 +10,17 @@
 use crate::wire::{Condition, Transaction};
 use std::sync::Arc;
 
-/// How many changes a transaction may have.
+/// Limits on the number of changes in a transaction.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeLimits {
-    /// At most, by the limits of the service.
+    /// Maximum number of changes, from the limits of the state service.
     pub total: usize,
-    /// Up to which what nobody waits for is added, so that it never delays the next
-    /// starts.
+    /// Number of changes up to which deferrable changes are added. It keeps deferrable changes
+    /// from using the write rate that the next starts of tasks need.
     pub deferrable_cutoff: usize,
 }
 
-/// A transaction under construction and what it stands for.
+/// A transaction under construction and the changes added to it so far.
 #[derive(Debug)]
 pub(super) struct Draft<'a> {
     pub keys: &'a Keys,
@@ -29,8 +29,8 @@
 }
 
 impl PendingWrites {
-    /// Builds the next transaction, if there is anything to write and none is in flight.
-    /// It is then taken to be in flight.
+    /// Builds the next transaction and marks it as in flight. Returns `None` if a transaction
+    /// is already in flight or there is nothing to write.
     pub fn next_transaction(
         &mut self,
         now: Millis,
@@ -57,7 +57,7 @@
         Some(transaction)
     }
 
-    /// What work or users wait for.
+    /// Adds the changes that tasks or users wait for.
     fn add_urgent(&mut self, now: Millis, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
         self.add_finished_jobs(context, draft);
         add_urgent_groups(context, draft);
@@ -66,7 +66,7 @@
         self.add_urgent_chunks(now, context, draft);
     }
 
-    /// What nobody waits for.
+    /// Adds the changes that nothing waits for.
     fn add_deferrable(
         &mut self,
         now: Millis,
@@ -75,12 +75,12 @@
         draft: &mut Draft<'_>,
     ) {
         let urgent = draft.builder.len();
-        let most = limits.total.min(limits.deferrable_cutoff.max(urgent));
-        // Half of it for clean-ups, so that they are never put off for good.
-        let with_clean_ups = urgent + limits.deferrable_cutoff.div_ceil(2);
-        draft.builder.limit_changes(most.min(with_clean_ups));
+        let max_changes = limits.total.min(limits.deferrable_cutoff.max(urgent));
+        // Clean-ups come first and get up to half of the cutoff, so that they are never starved.
+        let max_with_clean_ups = urgent + limits.deferrable_cutoff.div_ceil(2);
+        draft.builder.limit_changes(max_changes.min(max_with_clean_ups));
         self.add_clean_ups(context, draft);
-        draft.builder.limit_changes(most);
+        draft.builder.limit_changes(max_changes);
         self.add_changed_chunks(now, context, draft);
         add_all_groups(context, draft);
     }
--- a/src/persistence/outcome.rs
+++ b/src/persistence/outcome.rs
@@ -1,25 +1,25 @@
-//! What became of the transaction in flight.
+//! Handling of the result of the transaction in flight.
 
 use super::inventory_groups::{groups_committed, groups_not_applied};
 use super::{PendingWrites, WriteContext, WrittenRequest};
 use crate::ids::{AttemptIx, MachineIx};
 use std::collections::BTreeSet;
 
-/// What a committed transaction calls for elsewhere.
+/// Consequences of a committed transaction for other parts of the shard's state.
 #[derive(Debug, Default)]
 pub struct CommitEffects {
-    /// Attempts that never started and whose records are gone: to be closed as lost.
+    /// Attempts that never started and whose records are removed. They have to be closed as lost.
     pub withdrawn_attempts: Vec<AttemptIx>,
-    /// Ended jobs all of whose keys are gone: to be forgotten.
+    /// Ids of ended jobs whose keys are all removed. The jobs have to be removed from memory.
     pub removed_jobs: Vec<String>,
-    /// Machines that have something new to be told.
+    /// Machines to which new commands have to be sent.
     pub delivery_due: BTreeSet<MachineIx>,
-    /// Machine requests that may now be sent.
+    /// Machine requests that may now be sent to the cloud.
     pub machine_requests: Vec<WrittenRequest>,
 }
 
 impl PendingWrites {
-    /// The transaction in flight was applied at `revision`.
+    /// Updates the state after the transaction in flight was applied at `revision`.
     pub fn committed(&mut self, mut context: WriteContext<'_>, revision: u64) -> CommitEffects {
         let mut effects = CommitEffects::default();
         let Some(in_flight) = self.in_flight.take() else {
@@ -34,8 +34,8 @@
         effects
     }
 
-    /// The transaction in flight was surely not applied: everything in it has
-    /// to be considered again.
+    /// Queues all changes of the transaction in flight again, when it is certain that it was not
+    /// applied.
     pub fn not_applied(&mut self, mut context: WriteContext<'_>) {
         let Some(in_flight) = self.in_flight.take() else {
             return;
--- a/src/persistence/pending_writes.rs
+++ b/src/persistence/pending_writes.rs
@@ -1,95 +1,95 @@
-//! What is due to be written.
+//! Queues of the changes that are due to be written.
 
 use super::{AnsweredRequest, InFlight};
 use crate::fleet::MachineRequestRecord;
 use crate::ids::{ChunkId, JobIx};
 use std::collections::{BTreeSet, VecDeque};
 
-/// All that is to be written but for the inventory, whose groups know themselves
-/// whether they are, and the transaction in flight.
+/// The queued changes and the transaction in flight. Changes to the inventory are not queued
+/// here: the inventory itself tracks which of its groups have to be written.
 #[derive(Debug, Default)]
 pub struct PendingWrites {
-    /// Chunks whose write is waited for: by attempts that start after it, or by the room
-    /// of attempts that never start.
+    /// Chunks whose write is urgent: attempts can start only after it, or the resources of
+    /// attempts that never start are released by it.
     pub(super) urgent_chunks: BTreeSet<ChunkId>,
-    /// Chunks in which something else has changed.
+    /// Chunks with changes that nothing waits for.
     pub(super) deferrable_chunks: BTreeSet<ChunkId>,
-    /// Jobs whose last task is done.
+    /// Jobs whose last task is done and whose end has to be written.
     pub(super) finished: BTreeSet<JobIx>,
-    /// Ended jobs none of whose attempts is open: their keys can go.
+    /// Ended jobs without open attempts, whose keys can be removed.
     pub(super) clean_ups: BTreeSet<JobIx>,
-    /// Machine requests that are sent once they are written.
+    /// New machine requests, which are sent to the cloud once they are written.
     pub(super) machine_requests: VecDeque<MachineRequestRecord>,
-    /// Machine requests whose keys can go.
+    /// Answered machine requests, whose keys can be removed.
     pub(super) answered_requests: VecDeque<AnsweredRequest>,
-    /// The transaction in flight, if there is one.
+    /// Transaction in flight, if there is one.
     pub(super) in_flight: Option<InFlight>,
 }
 
 impl PendingWrites {
-    /// The write of a chunk is waited for: by an attempt that starts after it, or by the
-    /// room of one that never starts.
+    /// Queues a chunk whose write is urgent: an attempt can start only after it, or the
+    /// resources of an attempt that never starts are released by it.
     pub fn queue_urgent_chunk(&mut self, chunk: ChunkId) {
         self.urgent_chunks.insert(chunk);
     }
 
-    /// The same for several chunks.
+    /// Queues several chunks whose write is urgent.
     pub fn queue_urgent_chunks(&mut self, chunks: impl IntoIterator<Item = ChunkId>) {
         self.urgent_chunks.extend(chunks);
     }
 
-    /// A chunk has changed in a way that nothing waits for.
+    /// Queues a chunk with changes that nothing waits for.
     pub fn queue_deferrable_chunk(&mut self, chunk: ChunkId) {
         self.deferrable_chunks.insert(chunk);
     }
 
-    /// The last task of a job is done.
+    /// Queues the end of a job whose last task is done.
     pub fn queue_finished_job(&mut self, job: JobIx) {
         self.finished.insert(job);
     }
 
-    /// A job has ended and none of its attempts is open: its keys can go.
+    /// Queues the removal of the keys of an ended job without open attempts.
     pub fn queue_clean_up(&mut self, job: JobIx) {
         self.clean_ups.insert(job);
     }
 
-    /// Machines are to be asked for once the request is written.
+    /// Queues a machine request, which is sent to the cloud once it is written.
     pub fn queue_machine_request(&mut self, request: MachineRequestRecord) {
         self.machine_requests.push_back(request);
     }
 
-    /// The cloud answered a machine request: its key can go.
+    /// Queues the removal of the key of a machine request that the cloud has answered.
     pub fn queue_answered_request(&mut self, request: AnsweredRequest) {
         self.answered_requests.push_back(request);
     }
 
-    /// The machine requests whose keys are not in a transaction yet and can go.
+    /// Iterates over the answered machine requests whose removal is not in a transaction yet.
     pub fn answered_requests(&self) -> impl Iterator<Item = &AnsweredRequest> {
         self.answered_requests.iter()
     }
 
-    /// The machine requests that are not in a transaction yet.
+    /// Returns the new machine requests that are not in a transaction yet.
     pub fn machine_requests(&self) -> &VecDeque<MachineRequestRecord> {
         &self.machine_requests
     }
 
-    /// Whether a chunk is due to be written, urgently or not.
+    /// Whether a write of the chunk is queued, urgent or deferrable.
     pub fn is_chunk_queued(&self, chunk: ChunkId) -> bool {
         self.urgent_chunks.contains(&chunk) || self.deferrable_chunks.contains(&chunk)
     }
 
-    /// Whether the keys of a job are due to be removed.
+    /// Whether the removal of the job's keys is queued.
     pub fn is_clean_up_queued(&self, job: JobIx) -> bool {
         self.clean_ups.contains(&job)
     }
 
-    /// Whether anything is due to be written of any job.
+    /// Whether a change of any job is queued.
     pub fn has_job_changes(&self) -> bool {
         let has_chunks = !self.urgent_chunks.is_empty() || !self.deferrable_chunks.is_empty();
         has_chunks || !self.finished.is_empty() || !self.clean_ups.is_empty()
     }
 
-    /// Whether work or users wait for something to be written.
+    /// Whether tasks or users wait for a queued change.
     pub fn is_urgent(&self) -> bool {
         !(self.urgent_chunks.is_empty() && self.finished.is_empty() && self.machine_requests.is_empty())
     }
@@ -99,17 +99,17 @@
         self.in_flight.is_some()
     }
 
-    /// The transaction in flight.
+    /// Returns the transaction in flight, if there is one.
     pub fn in_flight(&self) -> Option<&InFlight> {
         self.in_flight.as_ref()
     }
 
-    /// The transaction in flight, to be sent again.
+    /// Returns the transaction in flight for modification, if there is one.
     pub fn in_flight_mut(&mut self) -> Option<&mut InFlight> {
         self.in_flight.as_mut()
     }
 
-    /// Nothing of this job is left to write. Its index may be given to another.
+    /// Removes all queued changes of a job, since its index may be reused for another job.
     pub fn forget_job(&mut self, job: JobIx) {
         self.urgent_chunks.retain(|chunk| chunk.job != job);
         self.deferrable_chunks.retain(|chunk| chunk.job != job);
@@ -117,7 +117,8 @@
         self.clean_ups.remove(&job);
     }
 
-    /// A chunk goes into the transaction that is built now, or need not be written.
+    /// Removes a chunk from the queues, because the transaction under construction contains it
+    /// or it need not be written.
     pub(super) fn unqueue_chunk(&mut self, chunk: ChunkId) {
         self.urgent_chunks.remove(&chunk);
         self.deferrable_chunks.remove(&chunk);
--- a/src/persistence/pending_writes/tests.rs
+++ b/src/persistence/pending_writes/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn starts_are_urgent_and_other_changes_are_not() {
+fn urgent_chunks_make_the_queue_urgent_and_deferrable_changes_do_not() {
     let mut pending = PendingWrites::default();
     pending.queue_deferrable_chunk(chunk(1, 0));
     pending.queue_clean_up(JobIx(1));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_forgotten_job_leaves_nothing_of_it_and_all_of_the_others() {
+fn forgetting_a_job_removes_only_its_own_changes() {
     let mut pending = PendingWrites::default();
     for job in [1, 2] {
         pending.queue_urgent_chunk(chunk(job, 0));
--- a/src/persistence/stored_value.rs
+++ b/src/persistence/stored_value.rs
@@ -1,10 +1,10 @@
-//! Reading the values that a former leader wrote.
+//! Parsing of values that a former leader stored.
 
 use crate::wire::Entry;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// A value of the state service that is not of the form its key calls for.
+/// Error for a stored value that cannot be parsed as the type that belongs to its key.
 #[derive(Debug, Error)]
 #[error("the value of `{key}` can't be read: {source}")]
 pub struct StoredValueError {
@@ -12,7 +12,7 @@
     source: serde_json::Error,
 }
 
-/// The value of a key, in the form that keys of its kind have.
+/// Parses the value of an entry as the type that belongs to its key.
 pub fn read_value<T: DeserializeOwned>(entry: &Entry) -> Result<T, StoredValueError> {
     T::deserialize(&entry.value).map_err(|source| StoredValueError {
         key: entry.key.clone(),
--- a/src/persistence/stored_value/tests.rs
+++ b/src/persistence/stored_value/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_value_is_read_in_the_form_of_its_kind() {
+fn a_stored_chunk_is_parsed_as_a_chunk_value() {
     let entry = entry(json!({"next": 4, "done": "0-2", "open": [[3, 1, "host-1", 9]]}));
     let value: ChunkValue = read_value(&entry).expect("a chunk");
     assert_eq!((value.next, value.done.as_str()), (4, "0-2"));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_error_names_the_key_and_the_field() {
+fn the_parse_error_names_the_key_and_the_missing_field() {
     let error = read_value::<ChunkValue>(&entry(json!({"next": 4, "done": ""}))).expect_err("no `open`");
     let text = error.to_string();
     assert!(
--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -1,5 +1,5 @@
-//! Chunks of tasks: which are done, and which attempts are open. An attempt starts only
-//! once its chunk is written.
+//! Writing of chunks of tasks. A chunk's value stores which of its tasks are done and which
+//! attempts are open. An attempt starts only after its chunk is written.
 
 use super::next_transaction::Draft;
 use super::{CommitEffects, PendingWrites, WriteContext};
@@ -12,29 +12,32 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// How often a chunk is written again for what nobody waits for.
-const REWRITE_MS: Millis = 1_500;
+/// Minimum interval between two writes of a chunk if only deferrable changes are queued.
+const MIN_REWRITE_INTERVAL_MS: Millis = 1_500;
+/// Estimated size of a chunk's change, without the list of done tasks and the open attempts.
 const CHUNK_BYTES: usize = 120;
+/// Estimated size of one open attempt in a chunk's value.
 const OPEN_ATTEMPT_BYTES: usize = 60;
 
 impl PendingWrites {
-    /// Chunks with attempts that start once they are written.
+    /// Adds the chunks whose write is urgent.
     pub(super) fn add_urgent_chunks(&mut self, now: Millis, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
         let due = self.urgent_chunks.clone();
         self.add_chunks(now, due, context, draft);
     }
 
-    /// Chunks that changed otherwise and were not written lately.
+    /// Adds the chunks with deferrable changes that were not written recently.
     pub(super) fn add_changed_chunks(&mut self, now: Millis, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
         let is_due = |id: &ChunkId| {
             let job = context.jobs.table.get(id.job);
             let chunk = job.and_then(|job| job.chunks.get(id.number as usize));
-            chunk.is_none_or(|chunk| now >= chunk.built_at() + REWRITE_MS)
+            chunk.is_none_or(|chunk| now >= chunk.built_at() + MIN_REWRITE_INTERVAL_MS)
         };
         let due = self.deferrable_chunks.iter().copied().filter(is_due).collect();
         self.add_chunks(now, due, context, draft);
     }
 
+    /// Adds these chunks while the transaction has space.
     fn add_chunks(
         &mut self,
         now: Millis,
@@ -48,8 +51,8 @@
                 continue;
             };
             if job.ended.is_some() || job.is_complete() {
-                // Its end says all that needs to be said; the chunk only has
-                // to know that nothing is left unwritten.
+                // The job's end makes the chunk's value unnecessary, so the changes are discarded
+                // and the chunk counts as written.
                 self.unqueue_chunk(id);
                 job.chunks[id.number as usize].discard_changes();
                 continue;
@@ -57,7 +60,7 @@
             let tasks = job.tasks_of_chunk(id.number, context.jobs.chunk_tasks);
             let value = chunk_value(job, id.number, tasks.clone(), context.workers);
             let bytes = CHUNK_BYTES + value.done.len() + value.open.len() * OPEN_ATTEMPT_BYTES;
-            // A single chunk always fits an otherwise empty transaction.
+            // A single chunk always fits into a transaction without other changes.
             if !draft.builder.has_space(1, bytes) && !draft.builder.is_empty() {
                 return;
             }
@@ -68,6 +71,7 @@
         }
     }
 
+    /// Records that the values of these chunks were written at `revision`.
     pub(super) fn chunks_committed(
         &mut self,
         chunks: &[ChunkId],
@@ -85,6 +89,7 @@
         }
     }
 
+    /// Queues these chunks again, since their values were not written.
     pub(super) fn chunks_not_applied(&mut self, chunks: &[ChunkId], context: &mut WriteContext<'_>) {
         for &id in chunks {
             let Some(job) = context.jobs.table.get_mut(id.job) else {
@@ -101,6 +106,7 @@
     }
 }
 
+/// Returns the value to store for a chunk. Withdrawn attempts are left out.
 fn chunk_value(job: &Job, number: u32, tasks: Range<u32>, workers: &Workers) -> ChunkValue {
     let mut open: Vec<OpenRecord> = Vec::new();
     for (&task, &attempt) in job.open.range(tasks.clone()) {
@@ -126,7 +132,7 @@
     }
 }
 
-/// The records of these tasks' attempts, or that they are gone, are being written.
+/// Records that the writes or removals of the records of these tasks' attempts are in flight.
 fn mark_in_flight(job: &Job, tasks: Range<u32>, attempts: &mut Attempts) {
     for (_, &attempt) in job.open.range(tasks) {
         if let Some(attempt) = attempts.get_mut(attempt) {
@@ -135,17 +141,20 @@
     }
 }
 
+/// Adds the change that writes a chunk's value.
 fn add_chunk(job: &Job, id: ChunkId, value: &ChunkValue, bytes: usize, draft: &mut Draft<'_>) {
     let key = draft.keys.firing(&job.id, id.number);
     let version = job.chunks[id.number as usize].version;
     draft.builder.require(key.clone(), version);
-    // A cancel changes the job's key, so nothing starts after it.
+    // A cancellation changes the job's own key, so this condition keeps new attempts from
+    // starting after it.
     draft.builder.require(draft.keys.job(&job.id), job.key_version);
     draft.builder.change(Change::put(key, json!(value)), bytes);
     draft.content.chunks.push(id);
 }
 
-/// Written attempts may start; those that were withdrawn are over.
+/// Updates the attempts of these tasks after a commit: attempts whose records were written may
+/// start, and withdrawn attempts whose records were removed have ended.
 fn attempts_committed(job: &Job, tasks: Range<u32>, attempts: &mut Attempts, effects: &mut CommitEffects) {
     for (_, &ix) in job.open.range(tasks) {
         let Some(attempt) = attempts.get_mut(ix) else {
--- a/src/persistence/transaction_builder.rs
+++ b/src/persistence/transaction_builder.rs
@@ -1,15 +1,16 @@
-//! Builds a transaction within the limits of the service.
+//! Builder for transactions within the limits of the state service.
 
 use crate::wire::{Change, Condition, Transaction};
 
-/// Keeps a transaction well below the service's 64 KiB.
-const MAX_BYTES: usize = 40_000;
-/// What the claim and the frame of the transaction take.
+/// Maximum estimated size of a transaction, well below the state service's limit of 64 KiB.
+const MAX_TRANSACTION_BYTES: usize = 40_000;
+/// Estimated size of the transaction's frame with the condition on the claim.
 const FRAME_BYTES: usize = 200;
-/// What a condition and the removal of its key take.
+/// Estimated size of the removal of a key with its condition.
 pub(super) const DELETE_BYTES: usize = 100;
 
-/// A transaction to which changes are added while there is space. Sizes are estimates.
+/// A transaction to which changes are added while there is space. All sizes are estimates in
+/// bytes.
 #[derive(Debug)]
 pub(super) struct TransactionBuilder {
     transaction: Transaction,
@@ -18,7 +19,7 @@
 }
 
 impl TransactionBuilder {
-    /// A transaction that is applied only while the claim holds.
+    /// Returns a builder for a transaction that is applied only while the leader's claim holds.
     pub fn new(claim: Condition, max_changes: usize) -> TransactionBuilder {
         TransactionBuilder {
             transaction: Transaction {
@@ -30,27 +31,28 @@
         }
     }
 
-    /// Whether as many changes of this size altogether can be added.
+    /// Whether this number of changes with this total size can be added.
     pub fn has_space(&self, changes: usize, bytes: usize) -> bool {
-        self.len() + changes <= self.max_changes && self.bytes + bytes <= MAX_BYTES
+        self.len() + changes <= self.max_changes && self.bytes + bytes <= MAX_TRANSACTION_BYTES
     }
 
-    /// How many changes it has.
+    /// Returns the number of changes added so far.
     pub fn len(&self) -> usize {
         self.transaction.changes.len()
     }
 
-    /// Whether it changes nothing.
+    /// Whether no changes have been added.
     pub fn is_empty(&self) -> bool {
         self.transaction.changes.is_empty()
     }
 
-    /// Limits how many changes it may have, from now on.
+    /// Sets the maximum number of changes for later calls of `has_space`.
     pub fn limit_changes(&mut self, max_changes: usize) {
         self.max_changes = max_changes;
     }
 
-    /// It is applied only while the key has this version; 0 for no such key.
+    /// Makes the transaction conditional on the version of a key; version 0 means that the key
+    /// does not exist. If a condition on this key already exists, it is kept.
     pub fn require(&mut self, key: String, version: u64) {
         let conditions = &mut self.transaction.conditions;
         if !conditions.iter().any(|condition| condition.key == key) {
@@ -58,19 +60,19 @@
         }
     }
 
-    /// Adds a change of about this size.
+    /// Adds a change of this estimated size.
     pub fn change(&mut self, change: Change, bytes: usize) {
         self.transaction.changes.push(change);
         self.bytes += bytes;
     }
 
-    /// Adds the removal of a key that has this version.
+    /// Adds the removal of a key, conditional on its version.
     pub fn delete(&mut self, key: String, version: u64) {
         self.require(key.clone(), version);
         self.change(Change::delete(key), DELETE_BYTES);
     }
 
-    /// The transaction, once all is added.
+    /// Returns the finished transaction.
     pub fn build(self) -> Transaction {
         self.transaction
     }
--- a/src/persistence/transaction_builder/tests.rs
+++ b/src/persistence/transaction_builder/tests.rs
@@ -10,20 +10,20 @@
 }
 
 #[test]
-fn changes_and_bytes_are_limited() {
+fn the_number_and_total_size_of_changes_are_limited() {
     let mut builder = builder(2);
-    assert!(builder.has_space(2, MAX_BYTES - FRAME_BYTES));
-    assert!(!builder.has_space(2, MAX_BYTES - FRAME_BYTES + 1));
+    assert!(builder.has_space(2, MAX_TRANSACTION_BYTES - FRAME_BYTES));
+    assert!(!builder.has_space(2, MAX_TRANSACTION_BYTES - FRAME_BYTES + 1));
     assert!(!builder.has_space(3, 1));
     builder.change(Change::put("a", json!(1)), 1_000);
-    assert!(builder.has_space(1, MAX_BYTES - FRAME_BYTES - 1_000));
-    assert!(!builder.has_space(1, MAX_BYTES - FRAME_BYTES - 999));
+    assert!(builder.has_space(1, MAX_TRANSACTION_BYTES - FRAME_BYTES - 1_000));
+    assert!(!builder.has_space(1, MAX_TRANSACTION_BYTES - FRAME_BYTES - 999));
     builder.limit_changes(1);
     assert!(!builder.has_space(1, 1));
 }
 
 #[test]
-fn a_key_is_required_once_at_its_first_version() {
+fn only_the_first_condition_on_a_key_is_kept() {
     let mut builder = builder(10);
     builder.require("a".into(), 3);
     builder.require("a".into(), 4);
