--- a/src/persistence/machine_requests.rs
+++ b/src/persistence/machine_requests.rs
@@ -22,7 +22,7 @@
 
 impl WrittenRequest {
     /// Returns the requests that one transaction has written, all at the same version.
-    pub(super) fn all(records: Vec<MachineRequestRecord>, version: u64) -> Vec<WrittenRequest> {
+    pub(super) fn from_records(records: Vec<MachineRequestRecord>, version: u64) -> Vec<WrittenRequest> {
         let requests = records.into_iter();
         requests.map(|record| WrittenRequest { record, version }).collect()
     }
--- a/src/persistence/outcome.rs
+++ b/src/persistence/outcome.rs
@@ -30,7 +30,7 @@
         self.finished_jobs_committed(&content.finished_jobs, &mut context, revision);
         self.clean_ups_committed(&content.clean_ups, &mut context, &mut effects);
         groups_committed(content.groups, &mut context, revision);
-        effects.machine_requests = WrittenRequest::all(content.machine_requests, revision);
+        effects.machine_requests = WrittenRequest::from_records(content.machine_requests, revision);
         effects
     }
 
