--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -16,12 +16,13 @@
 const FAILURE_CORDON_MS: Millis = 5_000;
 /// How long a machine that refused a task gets no new tasks.
 const REFUSED_CORDON_MS: Millis = 1_000;
-/// Number of failures of jobs that succeeded elsewhere at which a machine is unhealthy.
+/// Number of proven failures at which a machine is unhealthy. A failure is proven if its job has
+/// succeeded elsewhere.
 const UNHEALTHY_AFTER_PROVEN_FAILURES: u32 = 3;
 /// Number of distinct jobs failing on a machine since its last success at which the machine
-/// is unhealthy, if none of the failures is of a job that succeeded elsewhere.
+/// is unhealthy, if no failure is proven.
 pub(crate) const UNHEALTHY_AFTER_FAILING_JOBS: usize = 3;
-/// The same number if one of the failures is of a job that succeeded elsewhere.
+/// The same number if at least one failure is proven.
 const UNHEALTHY_AFTER_FAILING_JOBS_ONE_PROVEN: usize = 2;
 
 /// The task failures that count against a machine.
@@ -29,7 +30,7 @@
 pub struct FailureRecord {
     /// Jobs whose tasks have failed on the machine since its last success.
     failing_jobs: Vec<JobIx>,
-    /// Number of failures since then of jobs that succeeded elsewhere.
+    /// Number of failures since the last success whose job has succeeded elsewhere.
     proven_failures: u32,
 }
 
@@ -95,7 +96,8 @@
             return;
         }
         let failed_here_before = machine.failures.note_job(attempt.job);
-        // Several tasks of a job that fail together on one machine count as one failure.
+        // Several tasks of a job that fail together on one machine count against the job
+        // once.
         let counts_against_job = !failed_here_before || now >= machine.cordoned_until;
         machine.cordoned_until = now + FAILURE_CORDON_MS;
         if !job.done.is_empty() {
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -145,8 +145,8 @@
     /// Handles a new agent epoch: the worker restarted or its lease expired, and it dropped
     /// all its tasks.
     fn begin_agent_epoch(&mut self, received: ReceivedReport<'_>, lease_expiry_ms: Millis) {
-        let answered_lately = received.now < self.answered_at + lease_expiry_ms / 2;
-        if received.path == ReportPath::Heartbeat && self.heard_at.is_some() && answered_lately {
+        let answered_recently = received.now < self.answered_at + lease_expiry_ms / 2;
+        if received.path == ReportPath::Heartbeat && self.heard_at.is_some() && answered_recently {
             // The lease expired although this leader sent answers, so they do not arrive.
             self.missed_answers += MISSED_ANSWERS_TO_CORDON;
         }
