--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -46,7 +46,7 @@
             known_up_at: address.is_some().then_some(now),
             address,
             group: Some(group_ix),
-            written: true,
+            is_persisted: true,
             // A start sent under an earlier term may still be on its way.
             unconfirmed_start_term: self.term.saturating_sub(1),
             ..Machine::new(&name, Offer { type_ix, zone, spot }, now)
@@ -108,7 +108,7 @@
             machine.used.add(resources);
             machine.open.push(attempt_ix);
             machine.agent_epoch = machine.agent_epoch.max(record.agent_epoch);
-            machine.touch(job.image, job.spec.image_gb, f64::MAX);
+            machine.touch_image(job.image, job.spec.image_gb, f64::MAX);
             machine.idle_since = now;
         }
         let team = job.team;
@@ -136,7 +136,7 @@
         // Nobody knows any more; what may have run long is not to be
         // stopped as if it had just begun.
         running_since: Some(0),
-        stop: job.ended.is_some().then_some(0.0),
+        stop_grace_s: job.ended.is_some().then_some(0.0),
         ..Attempt::new(job_ix, record.task, record.attempt, machine, record.agent_epoch)
     }
 }
--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -76,12 +76,12 @@
     /// absence proves nothing; what is there is learned.
     pub fn listed(&mut self, now: Millis, page: &MachineList) {
         for listed in &page.machines {
-            if !self.workers.was_deleted_lately(&listed.id) {
+            if !self.workers.was_recently_deleted(&listed.id) {
                 self.machine_listed(now, listed);
             }
         }
         if !page.more {
-            self.workers.cloud_list_complete();
+            self.workers.finish_cloud_list();
         }
     }
 
--- a/src/controller/shard/tests/attempts.rs
+++ b/src/controller/shard/tests/attempts.rs
@@ -42,13 +42,13 @@
         shard.merge_report(0, &stale(name, 1, Vec::new()), ReportPath::CommandReply);
         let machine = shard.workers.machines.find(name).expect("known");
         let known = machine_of_mut(&mut shard, machine);
-        known.written = true;
+        known.is_persisted = true;
         known.report_due = Millis::MAX;
     }
     let job = shard.jobs.table.find("j-1").expect("known");
     let image = shard.jobs.table.get(job).expect("there").image;
     let listing = shard.workers.machines.find("host-1").expect("known");
-    machine_of_mut(&mut shard, listing).touch(image, 1.0, 50.0);
+    machine_of_mut(&mut shard, listing).touch_image(image, 1.0, 50.0);
     let ended = task(TaskState::Exited, Some(ExitReason::Stopped));
     shard.merge_report(10, &stale("host-1", 2, vec![ended]), ReportPath::Heartbeat);
     // Three machines that are long gone fill what it remembers.
@@ -90,7 +90,7 @@
     shard.jobs.note_deleted("j-1".into());
     shard.forget_deleted_jobs();
     assert!(shard.jobs.table.is_empty());
-    assert!(!shard.pending_writes.has_changes_of_jobs());
+    assert!(!shard.pending_writes.has_job_changes());
 }
 
 /// The first machine reports that the task's attempt there was stopped, and stays in reach.
@@ -125,7 +125,7 @@
         shard.merge_report(0, &heard, ReportPath::CommandReply);
         let machine = shard.workers.machines.find(name).expect("known");
         let known = machine_of_mut(&mut shard, machine);
-        known.written = true;
+        known.is_persisted = true;
         known.report_due = Millis::MAX;
     }
     lists_its_attempt(&mut shard);
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -5,7 +5,7 @@
 use crate::controller::Shard;
 use crate::store::Keys;
 use crate::wire::{Change, Command, Condition, ExitReason, Report, TaskState};
-use crate::workers::{Merged, ReportPath};
+use crate::workers::{MergeOutcome, ReportPath};
 
 const MINUTE: Millis = 60_000;
 
@@ -13,7 +13,7 @@
 fn absence_from_a_report_proves_nothing_while_a_start_may_arrive() {
     let (mut shard, machine) = shard();
     let attempt = machine_of(&shard, machine).open[0];
-    shard.workers.attempts.get_mut(attempt).expect("open").stop = Some(0.0);
+    shard.workers.attempts.get_mut(attempt).expect("open").stop_grace_s = Some(0.0);
     machine_of_mut(&mut shard, machine).unconfirmed_start_term = 5;
     shard.merge_report(MINUTE, &report(1, 2, 5, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(open(&shard), 1);
@@ -60,7 +60,7 @@
 fn starts_of_earlier_terms_need_no_higher_term() {
     let (mut shard, machine) = shard();
     let attempt = machine_of(&shard, machine).open[0];
-    shard.workers.attempts.get_mut(attempt).expect("open").stop = Some(0.0);
+    shard.workers.attempts.get_mut(attempt).expect("open").stop_grace_s = Some(0.0);
     machine_of_mut(&mut shard, machine).unconfirmed_start_term = 4;
     shard.merge_report(MINUTE, &report(1, 2, 4, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(open(&shard), 1);
@@ -79,11 +79,11 @@
         ReportPath::Heartbeat,
     );
     let old = report(1, 4, 5, vec![task(TaskState::Exited, Some(ExitReason::Done))]);
-    assert_eq!(shard.merge_report(20, &old, ReportPath::Heartbeat), Merged::Stale);
+    assert_eq!(shard.merge_report(20, &old, ReportPath::Heartbeat), MergeOutcome::Stale);
     assert_eq!(open(&shard), 1);
     assert_eq!(
         shard.merge_report(20, &report(1, 9, 7, Vec::new()), ReportPath::Heartbeat),
-        Merged::Outranked
+        MergeOutcome::HigherFencingToken
     );
     shard.merge_report(30, &report(2, 1, 5, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(open(&shard), 0);
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -80,7 +80,7 @@
                     && status.no_contact_for(status.unresponsive_after_ms)
                     && status.lease_has_expired()
             }
-            Failure::FailsTasks => machine.is_sick() && !status.fleet.most_fail_tasks,
+            Failure::FailsTasks => machine.is_unhealthy() && !status.fleet.most_fail_tasks,
             Failure::Reclaimed => machine
                 .spot_reclaim_at
                 .is_some_and(|at| status.now + RECLAIM_MARGIN_MS > at || machine.open.is_empty()),
@@ -126,7 +126,7 @@
 
     fn boot_has_timed_out(&self) -> bool {
         let boot_ms = crate::millis(self.boot_s * BOOT_TIMEOUT_FACTOR) + FIRST_CONTACT_GRACE_MS;
-        self.machine.last_sign().is_none() && self.now > self.machine.requested_at + boot_ms
+        self.machine.last_known_up_at().is_none() && self.now > self.machine.requested_at + boot_ms
     }
 }
 
@@ -192,7 +192,7 @@
         machine: &'a Machine,
     ) -> MachineStatus<'a> {
         let workers = context.workers;
-        let last_contact = machine.last_sign().unwrap_or(machine.requested_at);
+        let last_contact = machine.last_known_up_at().unwrap_or(machine.requested_at);
         MachineStatus {
             now: context.now,
             machine,
@@ -203,7 +203,7 @@
             report_interval_ms: crate::millis(workers.longest_report_interval_s()),
             lease_expiry_ms: workers.lease_expiry_ms,
             boot_s: context.topology.boot_s(machine.type_ix),
-            no_contact_since: last_contact.max(workers.hearing_since),
+            no_contact_since: last_contact.max(workers.receiving_reports_since),
         }
     }
 }
@@ -216,7 +216,7 @@
             .filter(|contact| context.now > contact.at + unresponsive_after_ms);
         let machines = || context.workers.machines.iter().map(|(_, machine)| machine);
         let unreachable = machines().filter(|machine| is_unreachable(machine)).count();
-        let fail_tasks = machines().filter(|machine| machine.is_sick()).count();
+        let fail_tasks = machines().filter(|machine| machine.is_unhealthy()).count();
         FleetStatus {
             unresponsive: unresponsive.map(|contact| contact.machine).collect(),
             most_unreachable: is_majority(unreachable, contacts.len()),
@@ -228,14 +228,14 @@
 /// Returns the last contact with each machine that was ever known to be up. Times before
 /// the leader began to receive reports are replaced by that time.
 fn last_contacts(context: &FleetContext<'_>) -> Vec<LastContact> {
-    let hearing_since = context.workers.hearing_since;
+    let receiving_reports_since = context.workers.receiving_reports_since;
     let machines = context.workers.machines.iter();
     machines
         .filter_map(|(ix, machine)| {
             Some(LastContact {
                 machine: ix,
                 zone: machine.zone,
-                at: machine.last_sign()?.max(hearing_since),
+                at: machine.last_known_up_at()?.max(receiving_reports_since),
             })
         })
         .collect()
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -48,7 +48,7 @@
         let machine = self.workers.machines.get_mut(ix).expect("known machine");
         machine.used.cpus = used;
         if let Some(other) = image {
-            machine.touch(ImageIx(job_image.0 + other), 1.0, 50.0);
+            machine.touch_image(ImageIx(job_image.0 + other), 1.0, 50.0);
         }
     }
 
@@ -56,7 +56,7 @@
         let type_ix = self.topology.type_ix(type_name);
         let zone = self.topology.zones.intern(zone);
         let mut machine = Machine::new(name, Offer { type_ix, zone, spot }, 0);
-        machine.written = true;
+        machine.is_persisted = true;
         machine.heard_at = Some(0);
         self.workers.machines.insert(name, machine)
     }
@@ -109,7 +109,12 @@
         if !machine.usable(0) || !job.shape.allows(machine.offer()) {
             continue;
         }
-        let score = (machine.holds(job.image), machine.spot, -info.resources.cpus, -free.cpus);
+        let score = (
+            machine.holds_image(job.image),
+            machine.spot,
+            -info.resources.cpus,
+            -free.cpus,
+        );
         if free.fits(job.shape.resources) && best.is_none_or(|(other, _)| score > other) {
             best = Some((score, ix));
         }
@@ -125,7 +130,9 @@
             .as_ref()
             .expect("known machine type");
         let allowed = job.shape.allows(machine.offer());
-        allowed && machine.holds(job.image) && !info.resources.saturating_sub(machine.used).fits(job.shape.resources)
+        allowed
+            && machine.holds_image(job.image)
+            && !info.resources.saturating_sub(machine.used).fits(job.shape.resources)
     })
 }
 
@@ -161,7 +168,7 @@
             let (workers, job) = (&fixture.workers, fixture.job());
             let expected = scan_all_machines(&fixture);
             let (resources, image) = (job.shape.resources, job.image);
-            let has_image = |best: &MachineIx| workers.machines.get(*best).is_some_and(|machine| machine.holds(image));
+            let has_image = |best: &MachineIx| workers.machines.get(*best).is_some_and(|machine| machine.holds_image(image));
             let room = match (expected, cache_holder_is_full(&fixture)) {
                 (None, _) => RoomForTask::Nowhere,
                 (Some(best), _) if has_image(&best) => RoomForTask::WithImageCached,
@@ -184,7 +191,7 @@
             view.assign(slot, resources, image);
             let machine = fixture.workers.machines.get_mut(view.machine_at(slot)).expect("known machine");
             machine.used.add(resources);
-            machine.touch(image, 1.0, 50.0);
+            machine.touch_image(image, 1.0, 50.0);
         }
     }
 }
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -8,7 +8,7 @@
 use crate::ids::{ChunkId, ImageIx, Index, JobIx, MachineIx, TeamIx};
 use crate::pipeline::Job;
 use crate::resources::Resources;
-use crate::workers::split_task;
+use crate::workers::parse_task_name;
 
 /// The most attempts that one round plans, which bounds the duration of a round.
 const MAX_STARTS: usize = 200;
@@ -212,7 +212,7 @@
         machine
             .unmatched_tasks
             .iter()
-            .any(|unmatched| split_task(&unmatched.task) == Some((job.id.as_str(), next.task)))
+            .any(|unmatched| parse_task_name(&unmatched.task) == Some((job.id.as_str(), next.task)))
     }
 
     /// Whether a start command of this term went unanswered and may still reach the
