--- a/src/admission/peer_confirmations.rs
+++ b/src/admission/peer_confirmations.rs
@@ -32,7 +32,7 @@
         let missing: BTreeSet<String> = context.peers.names().into_iter().collect();
         let asked: Vec<String> = missing
             .iter()
-            .filter(|node| context.peers.is_in_reach(context.now, node))
+            .filter(|node| context.peers.is_peer_reachable(context.now, node))
             .cloned()
             .collect();
         request.awaited = Awaited::PeerConfirmations {
--- a/src/admission/pending.rs
+++ b/src/admission/pending.rs
@@ -85,7 +85,7 @@
     /// Whether the other controller that it was forwarded to is silent or out of reach.
     pub(super) fn is_forwarded_in_vain(&self, now: Millis, peers: &PeerLinks) -> bool {
         match &self.awaited {
-            Awaited::PeerAnswer { node, give_up_at } => now >= *give_up_at || !peers.is_in_reach(now, node),
+            Awaited::PeerAnswer { node, give_up_at } => now >= *give_up_at || !peers.is_peer_reachable(now, node),
             _ => false,
         }
     }
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -87,7 +87,7 @@
     /// The peer to hand commands to: the one that the worker reports to, or any.
     fn peer_to_deliver(&mut self, relayed_by: Option<String>) -> Option<String> {
         relayed_by
-            .filter(|node| self.peers.is_in_reach(self.now, node))
+            .filter(|node| self.peers.is_peer_reachable(self.now, node))
             .or_else(|| self.peers.next_in_reach(self.now))
     }
 
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -29,7 +29,7 @@
 }
 
 impl PeerLink {
-    fn is_in_reach(&self, now: Millis) -> bool {
+    fn is_peer_reachable(&self, now: Millis) -> bool {
         self.heard_at.is_some_and(|at| now < at + IN_REACH_MS)
     }
 }
@@ -87,13 +87,13 @@
     }
 
     /// Whether this controller is in reach.
-    pub fn is_in_reach(&self, now: Millis, node: &str) -> bool {
-        self.links.get(node).is_some_and(|link| link.is_in_reach(now))
+    pub fn is_peer_reachable(&self, now: Millis, node: &str) -> bool {
+        self.links.get(node).is_some_and(|link| link.is_peer_reachable(now))
     }
 
     /// Whether any other controller is in reach.
     pub fn any_in_reach(&self, now: Millis) -> bool {
-        self.links.values().any(|link| link.is_in_reach(now))
+        self.links.values().any(|link| link.is_peer_reachable(now))
     }
 
     /// Whether at least half of the other controllers are in reach.
@@ -115,21 +115,21 @@
     pub fn leader(&self, now: Millis) -> Option<&str> {
         self.links
             .iter()
-            .filter(|(_, link)| link.is_in_reach(now) && link.state.leading_term.is_some())
+            .filter(|(_, link)| link.is_peer_reachable(now) && link.state.leading_term.is_some())
             .max_by_key(|(_, link)| link.state.leading_term)
             .map(|(node, _)| node.as_str())
     }
 
     /// How many controllers are in reach.
     pub fn count_in_reach(&self, now: Millis) -> usize {
-        self.links.values().filter(|link| link.is_in_reach(now)).count()
+        self.links.values().filter(|link| link.is_peer_reachable(now)).count()
     }
 
     /// The controllers in reach, one after the other.
     pub fn next_in_reach(&mut self, now: Millis) -> Option<String> {
         self.next_choice = self.next_choice.wrapping_add(1);
         let index = self.next_choice % self.count_in_reach(now).max(1);
-        let mut in_reach = self.links.iter().filter(|(_, link)| link.is_in_reach(now));
+        let mut in_reach = self.links.iter().filter(|(_, link)| link.is_peer_reachable(now));
         in_reach.nth(index).map(|(node, _)| node.clone())
     }
 
@@ -137,7 +137,7 @@
     pub fn with_store(&self, now: Millis) -> Option<&str> {
         self.links
             .iter()
-            .find(|(_, link)| link.is_in_reach(now) && link.state.store_reachable)
+            .find(|(_, link)| link.is_peer_reachable(now) && link.state.store_reachable)
             .map(|(node, _)| node.as_str())
     }
 
