--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -92,7 +92,7 @@
     }
 
     /// Whether any other controller is in reach.
-    pub fn any_in_reach(&self, now: Millis) -> bool {
+    pub fn any_peer_reachable(&self, now: Millis) -> bool {
         self.links.values().any(|link| link.is_peer_reachable(now))
     }
 
