--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -27,7 +27,7 @@
     /// Direct commands in flight at once: half of what all other controllers would
     /// hold, so that one of them has room for more than its part.
     fn max_deliveries(&self) -> usize {
-        self.connections.in_flight * self.peers.count_in_reach(self.now).div_ceil(2).max(1)
+        self.connections.in_flight * self.peers.reachable_peer_count(self.now).div_ceil(2).max(1)
     }
 
     /// Sends what machines are due, if it is time.
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -98,7 +98,7 @@
 
     /// Whether at least half of the other controllers are in reach.
     pub fn most_in_reach(&self, now: Millis) -> bool {
-        self.count_in_reach(now) * 2 >= self.links.len()
+        self.reachable_peer_count(now) * 2 >= self.links.len()
     }
 
     /// Whether there are no other controllers at all.
@@ -121,14 +121,14 @@
     }
 
     /// How many controllers are in reach.
-    pub fn count_in_reach(&self, now: Millis) -> usize {
+    pub fn reachable_peer_count(&self, now: Millis) -> usize {
         self.links.values().filter(|link| link.is_peer_reachable(now)).count()
     }
 
     /// The controllers in reach, one after the other.
     pub fn next_in_reach(&mut self, now: Millis) -> Option<String> {
         self.next_choice = self.next_choice.wrapping_add(1);
-        let index = self.next_choice % self.count_in_reach(now).max(1);
+        let index = self.next_choice % self.reachable_peer_count(now).max(1);
         let mut in_reach = self.links.iter().filter(|(_, link)| link.is_peer_reachable(now));
         in_reach.nth(index).map(|(node, _)| node.clone())
     }
