--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -88,7 +88,7 @@
     fn peer_to_deliver(&mut self, relayed_by: Option<String>) -> Option<String> {
         relayed_by
             .filter(|node| self.peers.is_peer_reachable(self.now, node))
-            .or_else(|| self.peers.next_in_reach(self.now))
+            .or_else(|| self.peers.next_reachable_peer(self.now))
     }
 
     /// What a peer holds for too long counts as lost: it may still arrive.
--- a/src/controller/worker_reports.rs
+++ b/src/controller/worker_reports.rs
@@ -27,7 +27,7 @@
     /// it sends workers on to the others, which relay their reports.
     fn answer_local_report(&mut self, report: &Report) -> ReportReply {
         if self.leads()
-            && let Some(node) = self.peers.next_in_reach(self.now)
+            && let Some(node) = self.peers.next_reachable_peer(self.now)
             && self.redirects.should_redirect(self.now, &report.machine)
         {
             return match self.merge_worker_report(report, ReportPath::Heartbeat) {
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -126,7 +126,7 @@
     }
 
     /// The controllers in reach, one after the other.
-    pub fn next_in_reach(&mut self, now: Millis) -> Option<String> {
+    pub fn next_reachable_peer(&mut self, now: Millis) -> Option<String> {
         self.next_choice = self.next_choice.wrapping_add(1);
         let index = self.next_choice % self.reachable_peer_count(now).max(1);
         let mut in_reach = self.links.iter().filter(|(_, link)| link.is_peer_reachable(now));
