--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -121,7 +121,7 @@
     /// would ask in vain. In an outage that all share, users are better
     /// answered than refused.
     pub(super) fn on_health_check(&mut self, request: u64) {
-        let shared_outage = self.peers.most_in_reach(self.now) && self.peers.with_store(self.now).is_none();
+        let shared_outage = self.peers.has_reachable_majority(self.now) && self.peers.with_store(self.now).is_none();
         let well = self.store_client.is_reachable(self.now) || (self.watch_cache.is_complete() && shared_outage);
         let answer = if well {
             crate::admission::text(200, "")
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -97,7 +97,7 @@
     }
 
     /// Whether at least half of the other controllers are in reach.
-    pub fn most_in_reach(&self, now: Millis) -> bool {
+    pub fn has_reachable_majority(&self, now: Millis) -> bool {
         self.reachable_peer_count(now) * 2 >= self.links.len()
     }
 
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -38,11 +38,11 @@
 fn most_of_the_others_have_to_be_in_reach() {
     let mut peers = PeerLinks::new(["a", "b", "c", "d"].map(String::from));
     peers.on_heartbeat(0, "a", state(None, false));
-    assert!(!peers.most_in_reach(100));
+    assert!(!peers.has_reachable_majority(100));
     peers.on_heartbeat(0, "b", state(None, false));
-    assert!(peers.most_in_reach(100));
-    assert!(!peers.most_in_reach(10_000));
-    assert!(PeerLinks::new([]).most_in_reach(0));
+    assert!(peers.has_reachable_majority(100));
+    assert!(!peers.has_reachable_majority(10_000));
+    assert!(PeerLinks::new([]).has_reachable_majority(0));
 }
 
 #[test]
