--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -193,7 +193,7 @@
     }
 
     fn advance_election(&mut self) {
-        let connectivity = if self.peers.is_alone() || self.peers.any_peer_reachable(self.now) {
+        let connectivity = if self.peers.has_no_peers() || self.peers.any_peer_reachable(self.now) {
             Connectivity::Connected
         } else {
             Connectivity::Isolated
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -102,7 +102,7 @@
     }
 
     /// Whether there are no other controllers at all.
-    pub fn is_alone(&self) -> bool {
+    pub fn has_no_peers(&self) -> bool {
         self.links.is_empty()
     }
 
