--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -111,7 +111,7 @@
         let to = match user_request {
             UserRequest::Submit(_) | UserRequest::Cancel(_) if leader.is_some() => leader,
             _ if self.store_client.is_reachable(self.now) => None,
-            _ => leader.or(self.peers.with_store(self.now)),
+            _ => leader.or(self.peers.first_with_store_access(self.now)),
         };
         to.map(str::to_owned)
     }
@@ -121,7 +121,8 @@
     /// would ask in vain. In an outage that all share, users are better
     /// answered than refused.
     pub(super) fn on_health_check(&mut self, request: u64) {
-        let shared_outage = self.peers.has_reachable_majority(self.now) && self.peers.with_store(self.now).is_none();
+        let shared_outage =
+            self.peers.has_reachable_majority(self.now) && self.peers.first_with_store_access(self.now).is_none();
         let well = self.store_client.is_reachable(self.now) || (self.watch_cache.is_complete() && shared_outage);
         let answer = if well {
             crate::admission::text(200, "")
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -134,7 +134,7 @@
     }
 
     /// A controller in reach that can use the state service.
-    pub fn with_store(&self, now: Millis) -> Option<&str> {
+    pub fn first_with_store_access(&self, now: Millis) -> Option<&str> {
         self.links
             .iter()
             .find(|(_, link)| link.is_peer_reachable(now) && link.state.store_reachable)
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -51,7 +51,7 @@
     peers.on_heartbeat(0, "a", state(Some(3), true));
     peers.on_heartbeat(0, "b", state(Some(4), false));
     assert_eq!(peers.leader(100), Some("b"));
-    assert_eq!(peers.with_store(100), Some("a"));
+    assert_eq!(peers.first_with_store_access(100), Some("a"));
     assert_eq!(peers.leader(10_000), None);
 }
 
