--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// How often controllers send heartbeats.
-pub const HEARTBEAT_EVERY_MS: Millis = 500;
+pub const HEARTBEAT_INTERVAL_MS: Millis = 500;
 /// A controller is in reach for this long after its last heartbeat.
 const IN_REACH_MS: Millis = 2_000;
 
@@ -71,7 +71,7 @@
 
     /// Whether to send a heartbeat now, which then counts as sent.
     pub fn take_heartbeat_due(&mut self, now: Millis) -> bool {
-        let due = now >= self.heartbeat_sent_at + HEARTBEAT_EVERY_MS;
+        let due = now >= self.heartbeat_sent_at + HEARTBEAT_INTERVAL_MS;
         if due {
             self.heartbeat_sent_at = now;
         }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -4,7 +4,7 @@
 mod links;
 mod message;
 
-pub use links::{HEARTBEAT_EVERY_MS, HeartbeatState, PeerLinks};
+pub use links::{HEARTBEAT_INTERVAL_MS, HeartbeatState, PeerLinks};
 pub use message::{
     AddressedCommands, Answer, CancelledJob, CommandReply, JobTaskCounts, Message, RelayedReport, RelayedReportReply,
     ReportReply, UserRequest, WorkerReply,
