--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -5,7 +5,7 @@
 use super::{Controller, LoadStage, Purpose};
 use crate::Millis;
 use crate::election::Phase;
-use crate::store::{StoreReply, StoreRequest, tail};
+use crate::store::{StoreReply, StoreRequest, strip_key_prefix};
 use crate::wire::{Entry, Page};
 
 /// Pause before the next claim after loading was given up.
@@ -66,7 +66,7 @@
             return;
         };
         match stage {
-            LoadStage::Machines => shard.load_group(self.now, tail(entry, &self.keys.inventories()), entry),
+            LoadStage::Machines => shard.load_group(self.now, strip_key_prefix(entry, &self.keys.inventories()), entry),
             LoadStage::MachineRequests => shard.load_machine_request(entry),
             LoadStage::WatchCache => {}
             LoadStage::Firings => self.load_firing(entry),
@@ -77,7 +77,7 @@
         let Some(shard) = &mut self.shard else {
             return;
         };
-        let Some((job, number)) = tail(entry, &self.keys.firings()).split_once('/') else {
+        let Some((job, number)) = strip_key_prefix(entry, &self.keys.firings()).split_once('/') else {
             return;
         };
         // The job may be newer than the watch cache, which is brought up to date before
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -105,6 +105,6 @@
 }
 
 /// The part of an entry's key after a prefix.
-pub fn tail<'a>(entry: &'a Entry, prefix: &str) -> &'a str {
+pub fn strip_key_prefix<'a>(entry: &'a Entry, prefix: &str) -> &'a str {
     entry.key.strip_prefix(prefix).unwrap_or(&entry.key)
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -7,7 +7,7 @@
 mod values;
 mod watch_cache;
 
-pub use keys::{Keys, tail};
+pub use keys::{Keys, strip_key_prefix};
 pub use requests::{StoreReply, StoreRequest};
 pub use token_bucket::TokenBucket;
 pub use values::{EndValue, JobKey, LeaderValue, TermValue};
