--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -18,7 +18,7 @@
             LoadStage::Machines => self.keys.inventories(),
             LoadStage::MachineRequests => self.keys.machine_requests(),
             LoadStage::WatchCache => self.keys.watched(),
-            LoadStage::Firings => self.keys.firings(),
+            LoadStage::Firings => self.keys.task_chunks(),
         };
         self.enqueue(Purpose::Load(stage), StoreRequest::List { prefix, after });
     }
@@ -77,7 +77,7 @@
         let Some(shard) = &mut self.shard else {
             return;
         };
-        let Some((job, number)) = strip_key_prefix(entry, &self.keys.firings()).split_once('/') else {
+        let Some((job, number)) = strip_key_prefix(entry, &self.keys.task_chunks()).split_once('/') else {
             return;
         };
         // The job may be newer than the watch cache, which is brought up to date before
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -68,7 +68,7 @@
     }
 
     /// Prefix of the keys of attempts.
-    pub fn firings(&self) -> String {
+    pub fn task_chunks(&self) -> String {
         format!("kept/{}/firing/", self.shard)
     }
 
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -83,7 +83,7 @@
         keys.job("j-000412"),
         keys.ends(),
         keys.end("j-000412"),
-        keys.firings(),
+        keys.task_chunks(),
         keys.firing("j-000412", 3),
         keys.inventories(),
         keys.inventory("41-0"),
