--- a/benches/costs/site/mod.rs
+++ b/benches/costs/site/mod.rs
@@ -112,7 +112,7 @@
         let key = job_key(job, "high");
         entries.insert(keys.job(&key.spec.id), json!(key));
         let value = json!({"next": TASKS_A_JOB + 1, "done": "", "open": open.remove(&job).unwrap_or_default()});
-        entries.insert(keys.firing(&key.spec.id, 0), value);
+        entries.insert(keys.task_chunk(&key.spec.id, 0), value);
     }
     for group in 0..MACHINES.div_ceil(MACHINES_A_GROUP) {
         let members = (group * MACHINES_A_GROUP..MACHINES).take(MACHINES_A_GROUP);
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -41,7 +41,7 @@
         .next_transaction(MINUTE, &keys, claim.clone(), 48, 48)
         .expect("due");
     let record = written.changes.iter().find_map(|change| match change {
-        Change::Put { put, value, .. } if *put == keys.firing("j-1", 0) => Some(value["open"].clone()),
+        Change::Put { put, value, .. } if *put == keys.task_chunk("j-1", 0) => Some(value["open"].clone()),
         _ => None,
     });
     assert_eq!(record, Some(serde_json::json!([])));
--- a/src/controller/shard/tests/transactions.rs
+++ b/src/controller/shard/tests/transactions.rs
@@ -67,7 +67,7 @@
     let mut shard = shard_with_open_tasks(2);
     assert!(shard.starts_wait());
     let transaction = next(&mut shard, MAX_CHANGES).expect("due");
-    assert_eq!(put_keys(&transaction), [keys().firing("j-1", 0)]);
+    assert_eq!(put_keys(&transaction), [keys().task_chunk("j-1", 0)]);
     assert!(next(&mut shard, MAX_CHANGES).is_none(), "one is in flight");
     assert!(
         shard
@@ -125,7 +125,7 @@
     let job = shard.jobs.table.get(job).expect("there");
     assert_eq!((job.ended, job.key_version), (Some(JobState::Done), 9));
     let clean_up = next(&mut shard, MAX_CHANGES).expect("due");
-    let chunks = [1, 2, 3].map(|number| keys().firing("j-1", number));
+    let chunks = [1, 2, 3].map(|number| keys().task_chunk("j-1", number));
     assert_eq!(deleted_keys(&clean_up)[..3], chunks);
     assert_eq!(deleted_keys(&clean_up)[3..], [keys().job("j-1")]);
     shard.committed(10_000, 10);
@@ -140,12 +140,15 @@
     next(&mut shard, MAX_CHANGES).expect("due");
     shard.committed(10_000, 9);
     let first = next(&mut shard, 4).expect("due");
-    assert_eq!(deleted_keys(&first), [1, 2].map(|number| keys().firing("j-1", number)));
+    assert_eq!(
+        deleted_keys(&first),
+        [1, 2].map(|number| keys().task_chunk("j-1", number))
+    );
     shard.not_applied();
     assert_eq!(next(&mut shard, 4).expect("due again"), first);
     shard.committed(10_000, 10);
     let second = next(&mut shard, 4).expect("due");
-    assert_eq!(deleted_keys(&second), [keys().firing("j-1", 3), keys().job("j-1")]);
+    assert_eq!(deleted_keys(&second), [keys().task_chunk("j-1", 3), keys().job("j-1")]);
     shard.committed(10_000, 11);
     assert!(shard.jobs.table.is_empty());
 }
--- a/src/persistence/clean_ups.rs
+++ b/src/persistence/clean_ups.rs
@@ -63,7 +63,7 @@
         if !builder.has_space(1, DELETE_BYTES) {
             break;
         }
-        builder.delete(keys.firing(&job.id, number), chunk.version);
+        builder.delete(keys.task_chunk(&job.id, number), chunk.version);
         chunks.push(number);
     }
     let removes_all = chunks.len() == written_chunks(job).count();
--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -136,7 +136,7 @@
 }
 
 fn add_chunk(job: &Job, id: ChunkId, value: &ChunkValue, bytes: usize, draft: &mut Draft<'_>) {
-    let key = draft.keys.firing(&job.id, id.number);
+    let key = draft.keys.task_chunk(&job.id, id.number);
     let version = job.chunks[id.number as usize].version;
     draft.builder.require(key.clone(), version);
     // A cancel changes the job's key, so nothing starts after it.
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -75,7 +75,7 @@
     /// The attempts at a chunk of a job's tasks, a
     /// [`ChunkValue`](crate::pipeline::ChunkValue). Written by the leader before a start
     /// command may be sent, and removed by it after the job's end.
-    pub fn firing(&self, id: &str, chunk: u32) -> String {
+    pub fn task_chunk(&self, id: &str, chunk: u32) -> String {
         format!("kept/{}/firing/{id}/{chunk}", self.shard)
     }
 
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -84,7 +84,7 @@
         keys.ends(),
         keys.end("j-000412"),
         keys.task_chunks(),
-        keys.firing("j-000412", 3),
+        keys.task_chunk("j-000412", 3),
         keys.inventories(),
         keys.inventory("41-0"),
         keys.machine_requests(),
