--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -15,7 +15,7 @@
     /// Reads the page of a stage after that key.
     pub(super) fn load_page(&mut self, stage: LoadStage, after: String) {
         let prefix = match stage {
-            LoadStage::Machines => self.keys.inventories(),
+            LoadStage::Machines => self.keys.machine_groups(),
             LoadStage::MachineRequests => self.keys.machine_requests(),
             LoadStage::WatchCache => self.keys.watched(),
             LoadStage::Firings => self.keys.task_chunks(),
@@ -66,7 +66,9 @@
             return;
         };
         match stage {
-            LoadStage::Machines => shard.load_group(self.now, strip_key_prefix(entry, &self.keys.inventories()), entry),
+            LoadStage::Machines => {
+                shard.load_group(self.now, strip_key_prefix(entry, &self.keys.machine_groups()), entry)
+            }
             LoadStage::MachineRequests => shard.load_machine_request(entry),
             LoadStage::WatchCache => {}
             LoadStage::Firings => self.load_firing(entry),
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -80,7 +80,7 @@
     }
 
     /// Prefix of the keys of machine groups.
-    pub fn inventories(&self) -> String {
+    pub fn machine_groups(&self) -> String {
         format!("kept/{}/roster/", self.shard)
     }
 
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -85,7 +85,7 @@
         keys.end("j-000412"),
         keys.task_chunks(),
         keys.task_chunk("j-000412", 3),
-        keys.inventories(),
+        keys.machine_groups(),
         keys.inventory("41-0"),
         keys.machine_requests(),
         keys.machine_request("pool-41-7"),
