--- a/benches/costs/site/mod.rs
+++ b/benches/costs/site/mod.rs
@@ -128,7 +128,10 @@
                 ])
             })
             .collect();
-        entries.insert(keys.inventory(&format!("1-{group}")), json!({ "machines": machines }));
+        entries.insert(
+            keys.machine_group(&format!("1-{group}")),
+            json!({ "machines": machines }),
+        );
     }
     entries
 }
--- a/src/controller/shard/tests/transactions.rs
+++ b/src/controller/shard/tests/transactions.rs
@@ -185,7 +185,7 @@
     // No space for the group of the machine.
     assert!(next(&mut shard, 0).is_none());
     let both = next(&mut shard, MAX_CHANGES).expect("due");
-    assert_eq!(put_keys(&both), [keys().inventory("5-0")]);
+    assert_eq!(put_keys(&both), [keys().machine_group("5-0")]);
     assert_eq!(deleted_keys(&both), [keys().machine_request("pool-5-0")]);
     shard.not_applied();
     assert_eq!(next(&mut shard, MAX_CHANGES).expect("due again"), both);
--- a/src/persistence/inventory_groups.rs
+++ b/src/persistence/inventory_groups.rs
@@ -61,7 +61,7 @@
     context: &WriteContext<'_>,
     draft: &mut Draft<'_>,
 ) -> WrittenGroup {
-    let key = draft.keys.inventory(&group.name);
+    let key = draft.keys.machine_group(&group.name);
     let machines: Vec<&Machine> = machines_of(group, context.workers).collect();
     if machines.is_empty() {
         draft.builder.delete(key, group.version);
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -86,7 +86,7 @@
 
     /// The machines of a group, a [`GroupValue`](crate::fleet::GroupValue). Written by the
     /// leader as machines come and go.
-    pub fn inventory(&self, group: &str) -> String {
+    pub fn machine_group(&self, group: &str) -> String {
         format!("kept/{}/roster/{group}", self.shard)
     }
 
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -86,7 +86,7 @@
         keys.task_chunks(),
         keys.task_chunk("j-000412", 3),
         keys.machine_groups(),
-        keys.inventory("41-0"),
+        keys.machine_group("41-0"),
         keys.machine_requests(),
         keys.machine_request("pool-41-7"),
     ];
