--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -92,7 +92,7 @@
             return;
         };
         let last_key = page.items.last().map(|entry| entry.key.clone());
-        match (self.watch_cache.take_page(&self.keys, page), last_key) {
+        match (self.watch_cache.apply_page(&self.keys, page), last_key) {
             (Some(changes), _) => {
                 self.watch_state.read_complete();
                 self.on_watched_changes(changes);
--- a/src/election/tests.rs
+++ b/src/election/tests.rs
@@ -15,7 +15,7 @@
         more: false,
         revision: 0,
     };
-    watch_cache.take_page(keys, page).expect("the last page");
+    watch_cache.apply_page(keys, page).expect("the last page");
     watch_cache
 }
 
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -90,7 +90,7 @@
     }
 
     /// Takes in one page of a full read; gives the changes once it is the last.
-    pub fn take_page(&mut self, keys: &Keys, page: Page) -> Option<Vec<WatchedChange>> {
+    pub fn apply_page(&mut self, keys: &Keys, page: Page) -> Option<Vec<WatchedChange>> {
         let full_read = self.full_read.get_or_insert_with(|| FullRead {
             revision: page.revision,
             events: Vec::new(),
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -43,7 +43,7 @@
     let (keys, mut cache) = (keys(), WatchCache::default());
     cache.record_job("j-9", serde_json::from_value(job_value("j-9", 5)).expect("a job"), 1);
     let first = page(10, true, vec![(keys.job("j-1"), job_value("j-1", 2), 4)]);
-    assert_eq!(cache.take_page(&keys, first), None);
+    assert_eq!(cache.apply_page(&keys, first), None);
     assert!(!cache.is_complete());
     let claim = json!({"node": "a", "life": 1, "term": 3});
     let last = page(
@@ -51,7 +51,7 @@
         false,
         vec![(keys.leader(), claim, 11), (keys.term(), json!({"term": 3}), 11)],
     );
-    let changes = cache.take_page(&keys, last).expect("the last page");
+    let changes = cache.apply_page(&keys, last).expect("the last page");
     let expected = [
         WatchedChange::Job("j-1".into()),
         WatchedChange::Leader,
