--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -106,7 +106,7 @@
     pub(super) fn take_log(&mut self, reply: StoreReply) -> bool {
         match reply {
             StoreReply::Log(log) if self.watch_cache.is_complete() => {
-                let changes = self.watch_cache.take_log(&self.keys, log.revision, log.events);
+                let changes = self.watch_cache.apply_log(&self.keys, log.revision, log.events);
                 self.on_watched_changes(changes);
                 true
             }
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -159,7 +159,7 @@
     }
 
     /// Applies a log that begins at or before our revision.
-    pub fn take_log(&mut self, keys: &Keys, revision: u64, events: Vec<Event>) -> Vec<WatchedChange> {
+    pub fn apply_log(&mut self, keys: &Keys, revision: u64, events: Vec<Event>) -> Vec<WatchedChange> {
         let known = self.revision;
         let mut changes = Vec::new();
         for event in events {
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -69,10 +69,10 @@
         put(keys.job("j-1"), job_value("j-1", 2), 4),
         removal(keys.job("j-1"), 6),
     ];
-    let changes = cache.take_log(&keys, 6, jobs.to_vec());
+    let changes = cache.apply_log(&keys, 6, jobs.to_vec());
     let appeared_and_gone = [WatchedChange::Job("j-1".into()), WatchedChange::JobGone("j-1".into())];
     assert_eq!(changes, appeared_and_gone);
-    assert_eq!(cache.take_log(&keys, 5, jobs.to_vec()), []);
+    assert_eq!(cache.apply_log(&keys, 5, jobs.to_vec()), []);
     assert_eq!((cache.revision(), cache.tasks(), cache.jobs().len()), (6, 0, 0));
 }
 
@@ -85,14 +85,14 @@
         put(keys.job("j-1"), json!({"spec": null}), 2),
         put(keys.catalogue(), json!({"rigs": []}), 3),
     ];
-    let changes = cache.take_log(&keys, 3, events);
+    let changes = cache.apply_log(&keys, 3, events);
     assert_eq!(changes, [WatchedChange::Leader, WatchedChange::Catalogue]);
     assert_eq!(
         cache.leader().map(|(leader, version)| (leader.term, *version)),
         Some((3, 1))
     );
     let events = vec![removal(keys.leader(), 4), removal(keys.catalogue(), 4)];
-    assert_eq!(cache.take_log(&keys, 4, events), [WatchedChange::Leader]);
+    assert_eq!(cache.apply_log(&keys, 4, events), [WatchedChange::Leader]);
     assert_eq!(cache.leader(), None);
     assert!(cache.catalogue().is_some());
 }
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -180,7 +180,7 @@
             value: json!(key),
             version: number as u64 + 1,
         };
-        watch_cache.take_log(&keys, number as u64 + 1, vec![event]);
+        watch_cache.apply_log(&keys, number as u64 + 1, vec![event]);
     }
     watch_cache
 }
