--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -105,7 +105,7 @@
                     "lost the shard: a worker has seen a higher fencing token"
                 );
                 self.step_down(OUTRANKED_CLAIM_DELAY_MS);
-                self.watch_cache.restart();
+                self.watch_cache.invalidate();
             }
             Merged::Stale | Merged::MachineDeleted => {}
         }
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -87,7 +87,7 @@
 
     pub(super) fn on_watch_cache_page(&mut self, request: &StoreRequest, reply: StoreReply) {
         let StoreReply::Page(page) = reply else {
-            self.watch_cache.restart();
+            self.watch_cache.invalidate();
             self.watch_state.read_failed(self.now + RETRY_MS);
             return;
         };
@@ -111,7 +111,7 @@
                 true
             }
             StoreReply::TooOld => {
-                self.watch_cache.restart();
+                self.watch_cache.invalidate();
                 false
             }
             _ => false,
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -153,7 +153,7 @@
     }
 
     /// Asks for a full read: changes have been missed, or a full read failed.
-    pub fn restart(&mut self) {
+    pub fn invalidate(&mut self) {
         self.complete = false;
         self.full_read = None;
     }
