--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -49,7 +49,10 @@
         match reply {
             StoreReply::Granted { lease } => {
                 let sent = self.election.lease_requested_at();
-                match self.election.granted(lease, sent, &self.keys, &self.watch_cache) {
+                match self
+                    .election
+                    .claim_with_lease(lease, sent, &self.keys, &self.watch_cache)
+                {
                     Some(transaction) => self.send_claim(transaction),
                     None => self.step_down(0),
                 }
--- a/src/election/claim.rs
+++ b/src/election/claim.rs
@@ -17,7 +17,7 @@
 
     /// The claim under the lease requested then, unless somebody else claimed in the
     /// meantime: that leader acts until its own lease expires.
-    pub fn granted(
+    pub fn claim_with_lease(
         &mut self,
         lease: u64,
         requested_at: Millis,
--- a/src/election/tests.rs
+++ b/src/election/tests.rs
@@ -42,7 +42,7 @@
         election.poll(sent, &watch_cache, Connectivity::Connected),
         Some(LeaseRequest::Grant)
     );
-    assert!(election.granted(9, sent, &keys, &watch_cache).is_some());
+    assert!(election.claim_with_lease(9, sent, &keys, &watch_cache).is_some());
     election.claimed(5);
     election.activate();
     (election, keys, watch_cache)
@@ -175,8 +175,8 @@
         Some(LeaseRequest::Grant)
     );
     let watch_cache = watch_cache_with(&keys, vec![claim_entry(&keys, "b", 2)]);
-    assert_eq!(election.granted(9, 0, &keys, &watch_cache), None);
+    assert_eq!(election.claim_with_lease(9, 0, &keys, &watch_cache), None);
     // One of its own earlier incarnation is as good as none.
     let watch_cache = watch_cache_with(&keys, vec![claim_entry(&keys, "a", 2)]);
-    assert!(election.granted(9, 0, &keys, &watch_cache).is_some());
+    assert!(election.claim_with_lease(9, 0, &keys, &watch_cache).is_some());
 }
