--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -83,7 +83,7 @@
 
     /// The claim was carried out.
     fn claimed(&mut self, version: u64) {
-        self.election.claimed(version);
+        self.election.on_claim_committed(version);
         self.leader_timers.claimed(self.now);
         let is_known_valid = self.term_raise.claimed(self.now);
         if is_known_valid {
--- a/src/election/claim.rs
+++ b/src/election/claim.rs
@@ -68,7 +68,7 @@
     }
 
     /// The claim was carried out, and its key has this version.
-    pub fn claimed(&mut self, version: u64) {
+    pub fn on_claim_committed(&mut self, version: u64) {
         tracing::info!(term = self.term, "claimed the shard");
         self.claim_version = version;
         self.phase = Phase::Loading;
--- a/src/election/tests.rs
+++ b/src/election/tests.rs
@@ -43,7 +43,7 @@
         Some(LeaseRequest::Grant)
     );
     assert!(election.claim_with_lease(9, sent, &keys, &watch_cache).is_some());
-    election.claimed(5);
+    election.on_claim_committed(5);
     election.activate();
     (election, keys, watch_cache)
 }
