--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -128,7 +128,7 @@
     pub(super) fn on_renew_reply(&mut self, sent: Millis, reply: StoreReply) {
         match reply {
             StoreReply::Renewed => {
-                self.election.renewed(self.now, sent);
+                self.election.on_lease_renewed(self.now, sent);
                 if self.election.is_suspended() {
                     self.refresh_watch_cache();
                 }
--- a/src/election/tests.rs
+++ b/src/election/tests.rs
@@ -53,13 +53,13 @@
     let (mut election, _, watch_cache) = claimed(1_000);
     assert!(election.is_acting_leader(1_000 + LEASE_MS - MARGIN_MS - 1));
     assert!(!election.is_acting_leader(1_000 + LEASE_MS - MARGIN_MS));
-    election.renewed(2_000, 2_000);
+    election.on_lease_renewed(2_000, 2_000);
     assert!(election.is_acting_leader(2_000 + LEASE_MS - MARGIN_MS - 1));
     // Guards against acting again on a renewal alone: after an expiry another
     // controller may have claimed and lost the shard in between.
     let expired = 2_000 + LEASE_MS;
     election.poll(expired, &watch_cache, Connectivity::Connected);
-    election.renewed(expired + 1, expired);
+    election.on_lease_renewed(expired + 1, expired);
     assert!(!election.is_acting_leader(expired + 1));
     // Nor is a read from before the renewal enough, or an old watch cache.
     assert!(!election.may_resume(expired + 1, expired));
@@ -76,7 +76,7 @@
 fn a_leader_with_an_old_watch_cache_neither_acts_nor_renews() {
     let (mut election, _, watch_cache) = claimed(0);
     let old = LEASE_MS + AGE_MS;
-    election.renewed(old - 1, old - 1);
+    election.on_lease_renewed(old - 1, old - 1);
     assert!(election.is_acting_leader(old - 1));
     assert!(!election.is_acting_leader(old));
     assert_eq!(election.poll(old, &watch_cache, Connectivity::Connected), None);
--- a/src/election/validity.rs
+++ b/src/election/validity.rs
@@ -66,7 +66,7 @@
     }
 
     /// The renewal sent then succeeded.
-    pub fn renewed(&mut self, now: Millis, sent_at: Millis) {
+    pub fn on_lease_renewed(&mut self, now: Millis, sent_at: Millis) {
         let until = sent_at + LEASE_MS - MARGIN_MS;
         self.validity.lease_until = self.validity.lease_until.max(until);
         let lease_valid = self.is_lease_valid(now);
