--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -145,7 +145,7 @@
     /// what acting again waits for: a cancellation may have come in the meantime,
     /// and the claim may be another's.
     pub(super) fn watch_cache_read(&mut self, sent: Millis) {
-        self.election.watch_cache_read(sent);
+        self.election.on_watch_cache_read(sent);
         if !self.election.may_resume(self.now, sent) {
             return;
         }
--- a/src/election/tests.rs
+++ b/src/election/tests.rs
@@ -37,7 +37,7 @@
     let keys = Keys::new("pool");
     let watch_cache = watch_cache_with(&keys, Vec::new());
     let mut election = LeaderElection::new("a", 1, AGE_MS);
-    election.watch_cache_read(sent + LEASE_MS);
+    election.on_watch_cache_read(sent + LEASE_MS);
     assert_eq!(
         election.poll(sent, &watch_cache, Connectivity::Connected),
         Some(LeaseRequest::Grant)
@@ -63,7 +63,7 @@
     assert!(!election.is_acting_leader(expired + 1));
     // Nor is a read from before the renewal enough, or an old watch cache.
     assert!(!election.may_resume(expired + 1, expired));
-    election.watch_cache_read(expired + 1);
+    election.on_watch_cache_read(expired + 1);
     assert!(election.may_resume(expired + 2, expired + 1));
     election.resume();
     assert!(election.is_acting_leader(expired + 2));
@@ -80,7 +80,7 @@
     assert!(election.is_acting_leader(old - 1));
     assert!(!election.is_acting_leader(old));
     assert_eq!(election.poll(old, &watch_cache, Connectivity::Connected), None);
-    election.watch_cache_read(old);
+    election.on_watch_cache_read(old);
     assert_eq!(
         election.poll(old + 1, &watch_cache, Connectivity::Connected),
         Some(LeaseRequest::Renew(9))
--- a/src/election/validity.rs
+++ b/src/election/validity.rs
@@ -78,7 +78,7 @@
     }
 
     /// A read sent then brought the watch cache up to date.
-    pub fn watch_cache_read(&mut self, sent_at: Millis) {
+    pub fn on_watch_cache_read(&mut self, sent_at: Millis) {
         let until = sent_at + self.validity.max_watch_cache_age_ms;
         self.validity.watch_cache_until = self.validity.watch_cache_until.max(until);
     }
