--- a/src/controller/lease_extension.rs
+++ b/src/controller/lease_extension.rs
@@ -74,7 +74,7 @@
         }
         self.peers.extension_granted(node, requested_at);
         if let Some(requested_at) = self.peers.extension_granted_by_all() {
-            self.election.lease_extended(self.now, requested_at);
+            self.election.on_lease_extended(self.now, requested_at);
         }
     }
 
--- a/src/election/extension.rs
+++ b/src/election/extension.rs
@@ -31,7 +31,7 @@
 
     /// Every other controller granted the extension requested then. Counts only
     /// without a break: who has expired may have missed another's whole term.
-    pub fn lease_extended(&mut self, now: Millis, requested_at: Millis) {
+    pub fn on_lease_extended(&mut self, now: Millis, requested_at: Millis) {
         if self.is_acting_leader(now) {
             self.validity.extend_until(requested_at + EXTENSION_MS);
         }
--- a/src/election/tests.rs
+++ b/src/election/tests.rs
@@ -123,13 +123,13 @@
     assert!(!election.take_extension_request_due(REQUEST_AFTER_MS - MARGIN_MS - 1));
     assert!(election.take_extension_request_due(expire - 500));
     assert!(!election.take_extension_request_due(expire - 499));
-    election.lease_extended(expire - 100, expire - 500);
+    election.on_lease_extended(expire - 100, expire - 500);
     let until = expire - 500 + EXTENSION_MS;
     assert!(election.is_acting_leader(until - 1));
     assert!(!election.is_lease_valid(until - 1));
     assert!(!election.is_acting_leader(until));
     // Late promises revive nothing: another may have been the leader meanwhile.
-    election.lease_extended(until + 10, until + 5);
+    election.on_lease_extended(until + 10, until + 5);
     assert!(!election.is_acting_leader(until + 10));
     election.poll(until + 10, &watch_cache, Connectivity::Connected);
     assert!(!election.grant_extension(until + 10), "it may still be the leader");
