--- a/src/controller/lease_extension.rs
+++ b/src/controller/lease_extension.rs
@@ -72,7 +72,7 @@
         for job in cancelled_jobs {
             self.learn_cancelled(job);
         }
-        self.peers.extension_granted(node, requested_at);
+        self.peers.on_extension_granted(node, requested_at);
         if let Some(requested_at) = self.peers.extension_granted_by_all() {
             self.election.on_lease_extended(self.now, requested_at);
         }
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -142,7 +142,7 @@
     }
 
     /// Notes that a controller granted the lease extension requested then.
-    pub fn extension_granted(&mut self, node: &str, requested_at: Millis) {
+    pub fn on_extension_granted(&mut self, node: &str, requested_at: Millis) {
         if let Some(link) = self.links.get_mut(node) {
             link.granted_extension_requested_at = link.granted_extension_requested_at.max(requested_at);
         }
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -60,10 +60,10 @@
 #[test]
 fn promises_count_only_from_all() {
     let mut peers = PeerLinks::new(["a".to_string(), "b".to_string()]);
-    peers.extension_granted("a", 700);
+    peers.on_extension_granted("a", 700);
     assert_eq!(peers.extension_granted_by_all(), Some(0));
-    peers.extension_granted("b", 500);
-    peers.extension_granted("b", 400);
+    peers.on_extension_granted("b", 500);
+    peers.on_extension_granted("b", 400);
     assert_eq!(peers.extension_granted_by_all(), Some(500));
     assert_eq!(PeerLinks::new([]).extension_granted_by_all(), None);
 }
