--- a/src/admission/effects.rs
+++ b/src/admission/effects.rs
@@ -41,7 +41,7 @@
         transaction: Arc<Transaction>,
     },
     /// Forward a request to another controller; the answer goes to
-    /// [`Admission::forwarded`](super::Admission::forwarded).
+    /// [`Admission::on_peer_answer`](super::Admission::on_peer_answer).
     Forward {
         /// The request that waits for it.
         request_id: u64,
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -162,7 +162,7 @@
 
     /// Another controller answered. Its "can't take it" is final too: it said
     /// so knowing more than we do.
-    pub fn forwarded(
+    pub fn on_peer_answer(
         &mut self,
         context: &AdmissionContext<'_>,
         request_id: u64,
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -62,7 +62,7 @@
     fn on_forward_reply(&mut self, node: &str, id: u64, answer: Answer) {
         if let Some(pending_id) = self.forwarded_requests.take(id) {
             let effects =
-                self.with_admission(|admission, context| admission.forwarded(context, pending_id, node, answer));
+                self.with_admission(|admission, context| admission.on_peer_answer(context, pending_id, node, answer));
             self.apply_effects(effects);
         }
     }
