--- a/src/admission/effects.rs
+++ b/src/admission/effects.rs
@@ -33,7 +33,7 @@
         key: String,
     },
     /// Send a create-once write; the reply goes to
-    /// [`Admission::written`](super::Admission::written).
+    /// [`Admission::on_write_reply`](super::Admission::on_write_reply).
     Write {
         /// The request that waits for it.
         request_id: u64,
--- a/src/admission/writes.rs
+++ b/src/admission/writes.rs
@@ -54,7 +54,7 @@
 
 impl Admission {
     /// The reply to a create-once write.
-    pub fn written(
+    pub fn on_write_reply(
         &mut self,
         context: &AdmissionContext<'_>,
         request_id: u64,
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -67,7 +67,7 @@
         if let StoreReply::Conflict { failed } = reply {
             self.check_claim_in(request, failed);
         }
-        let effects = self.with_admission(|admission, context| admission.written(context, pending_id, reply));
+        let effects = self.with_admission(|admission, context| admission.on_write_reply(context, pending_id, reply));
         self.apply_effects(effects);
     }
 }
