--- a/src/admission/confirmations.rs
+++ b/src/admission/confirmations.rs
@@ -117,7 +117,7 @@
 
     /// The read of a job's end came back. The job key was seen missing before,
     /// so a missing end now means that no such job was ever accepted.
-    pub fn end_read(
+    pub fn on_end_read(
         &mut self,
         context: &AdmissionContext<'_>,
         request_id: u64,
--- a/src/admission/effects.rs
+++ b/src/admission/effects.rs
@@ -25,7 +25,7 @@
     /// Answer a request.
     Answer(Requester, Answer),
     /// Read the key that says how a job ended; the reply goes to
-    /// [`Admission::end_read`](super::Admission::end_read).
+    /// [`Admission::on_end_read`](super::Admission::on_end_read).
     ReadEnd {
         /// The request that waits for it.
         request_id: u64,
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -55,7 +55,8 @@
             Purpose::Commit => self.on_commit_reply(request, reply),
             Purpose::CheckCommit(evidence) => self.on_commit_checked(evidence, &reply),
             Purpose::ReadEnd(pending_id) => {
-                let effects = self.with_admission(|admission, context| admission.end_read(context, pending_id, &reply));
+                let effects =
+                    self.with_admission(|admission, context| admission.on_end_read(context, pending_id, &reply));
                 self.apply_effects(effects);
             }
             Purpose::Write(pending_id) => self.on_user_write_reply(pending_id, request, &reply),
