--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -36,7 +36,7 @@
 
 impl Unavailable {
     pub(super) fn answer(self) -> Answer {
-        busy(&self.to_string())
+        service_unavailable(&self.to_string())
     }
 }
 
@@ -102,7 +102,7 @@
 }
 
 /// The service can't take it now; the user is told when to come back.
-pub fn busy(error: &str) -> Answer {
+pub fn service_unavailable(error: &str) -> Answer {
     Answer {
         retry_after_s: Some(RETRY_AFTER_S),
         ..text(STATUS_UNAVAILABLE, error)
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,7 +1,7 @@
 //! Messages of other controllers, handed to what handles each.
 
 use super::{Controller, Output, SHARD};
-use crate::admission::{Requester, busy};
+use crate::admission::{Requester, service_unavailable};
 use crate::peers::{AddressedCommands, Answer, CommandReply, HeartbeatState, Message, UserRequest};
 
 impl Controller {
@@ -47,7 +47,7 @@
 
     fn on_forwarded_request(&mut self, node: String, shard: &str, id: u64, user_request: UserRequest) {
         if shard != SHARD {
-            let answer = busy("another shard");
+            let answer = service_unavailable("another shard");
             let message = Message::ForwardReply { id, answer };
             self.outputs.push(Output::Peer { node, message });
             return;
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -127,7 +127,7 @@
         let answer = if well {
             crate::admission::text(200, "")
         } else {
-            crate::admission::busy("the state service can't be reached")
+            crate::admission::service_unavailable("the state service can't be reached")
         };
         self.outputs.push(Output::Answer { request, answer });
     }
--- a/src/runtime/http_endpoint.rs
+++ b/src/runtime/http_endpoint.rs
@@ -3,7 +3,7 @@
 mod routes;
 
 use super::event::Event;
-use crate::admission::{busy, text};
+use crate::admission::{service_unavailable, text};
 use crate::peers::{Answer, UserRequest};
 use poem::http::StatusCode;
 use poem::{Endpoint, Request, Response};
@@ -91,7 +91,7 @@
         };
         let kib = body.len().div_ceil(BYTES_PER_KIB).max(1) as u32;
         let Ok(_in_hand) = self.free_bodies_kib.try_acquire_many(kib) else {
-            return busy("too many requests at once");
+            return service_unavailable("too many requests at once");
         };
         match String::from_utf8(body) {
             Ok(body) => self.ask(UserRequest::Submit(body)).await,
@@ -108,9 +108,11 @@
     async fn send(&self, queue: &mpsc::Sender<Event>, event: impl FnOnce(oneshot::Sender<Answer>) -> Event) -> Answer {
         let (reply, answer) = oneshot::channel();
         if queue.try_send(event(reply)).is_err() {
-            return busy("too many requests at once");
+            return service_unavailable("too many requests at once");
         }
-        answer.await.unwrap_or_else(|_| busy("the request was dropped"))
+        answer
+            .await
+            .unwrap_or_else(|_| service_unavailable("the request was dropped"))
     }
 
     fn respond(&self, answer: Answer) -> Response {
