--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -89,11 +89,11 @@
 
 /// No such job was ever accepted.
 pub(super) fn not_found() -> Answer {
-    text(STATUS_NOT_FOUND, "no such job")
+    error_answer(STATUS_NOT_FOUND, "no such job")
 }
 
 /// An answer whose body says what is wrong.
-pub fn text(status: u16, error: &str) -> Answer {
+pub fn error_answer(status: u16, error: &str) -> Answer {
     Answer {
         status,
         body: json!({ "error": error }).to_string(),
@@ -105,7 +105,7 @@
 pub fn service_unavailable(error: &str) -> Answer {
     Answer {
         retry_after_s: Some(RETRY_AFTER_S),
-        ..text(STATUS_UNAVAILABLE, error)
+        ..error_answer(STATUS_UNAVAILABLE, error)
     }
 }
 
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -26,7 +26,7 @@
 mod validation;
 mod writes;
 
-pub use answers::{service_unavailable, text};
+pub use answers::{error_answer, service_unavailable};
 pub use effects::{AdmissionEffect, Requester};
 pub use refusal::{Refusal, Verdict};
 
--- a/src/admission/refusal.rs
+++ b/src/admission/refusal.rs
@@ -1,6 +1,6 @@
 //! Why a submission is refused for good.
 
-use super::answers::text;
+use super::answers::error_answer;
 use super::validation::{self, MAX_TASKS};
 use crate::peers::Answer;
 use crate::settings::Team;
@@ -53,7 +53,7 @@
     }
 
     pub(super) fn answer(&self) -> Answer {
-        text(self.status(), &self.to_string())
+        error_answer(self.status(), &self.to_string())
     }
 }
 
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -125,7 +125,7 @@
             self.peers.has_reachable_majority(self.now) && self.peers.first_with_store_access(self.now).is_none();
         let well = self.store_client.is_reachable(self.now) || (self.watch_cache.is_complete() && shared_outage);
         let answer = if well {
-            crate::admission::text(200, "")
+            crate::admission::error_answer(200, "")
         } else {
             crate::admission::service_unavailable("the state service can't be reached")
         };
--- a/src/runtime/http_endpoint.rs
+++ b/src/runtime/http_endpoint.rs
@@ -3,7 +3,7 @@
 mod routes;
 
 use super::event::Event;
-use crate::admission::{service_unavailable, text};
+use crate::admission::{error_answer, service_unavailable};
 use crate::peers::{Answer, UserRequest};
 use poem::http::StatusCode;
 use poem::{Endpoint, Request, Response};
@@ -47,7 +47,7 @@
             Ok(Route::SubmitJob) => self.submit(&mut request).await,
             Ok(Route::ShowJob(id)) => self.ask(UserRequest::Show(id.into())).await,
             Ok(Route::CancelJob(id)) => self.ask(UserRequest::Cancel(id.into())).await,
-            Err(error) => text(error.status(), &error.to_string()),
+            Err(error) => error_answer(error.status(), &error.to_string()),
         };
         Ok(self.respond(answer))
     }
@@ -81,13 +81,13 @@
         let body = read_body(request, MAX_REPORT_BYTES).await;
         match body.and_then(|body| serde_json::from_slice(&body).ok()) {
             Some(report) => self.send(&self.urgent, |reply| Event::Report { report, reply }).await,
-            None => text(400, "not a report"),
+            None => error_answer(400, "not a report"),
         }
     }
 
     async fn submit(&self, request: &mut Request) -> Answer {
         let Some(body) = read_body(request, MAX_JOB_BYTES).await else {
-            return text(400, "the body is too long or broken");
+            return error_answer(400, "the body is too long or broken");
         };
         let kib = body.len().div_ceil(BYTES_PER_KIB).max(1) as u32;
         let Ok(_in_hand) = self.free_bodies_kib.try_acquire_many(kib) else {
@@ -95,7 +95,7 @@
         };
         match String::from_utf8(body) {
             Ok(body) => self.ask(UserRequest::Submit(body)).await,
-            Err(_) => text(400, "not UTF-8"),
+            Err(_) => error_answer(400, "not UTF-8"),
         }
     }
 
--- a/src/runtime/http_server/tests.rs
+++ b/src/runtime/http_server/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::admission::text;
+use crate::admission::error_answer;
 use crate::runtime::event::Event;
 use crate::runtime::event_loop_monitor::TICK_INTERVAL;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -27,7 +27,7 @@
     tokio::spawn(async move {
         while let Some(event) = events.recv().await {
             if let Event::Health { reply } = event {
-                let _ = reply.send(text(200, ""));
+                let _ = reply.send(error_answer(200, ""));
             }
         }
     });
