--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -28,7 +28,7 @@
 
 pub use answers::{error_answer, service_unavailable};
 pub use effects::{AdmissionEffect, Requester};
-pub use refusal::{Refusal, Verdict};
+pub use refusal::{Feasibility, Refusal};
 
 use crate::Millis;
 use crate::peers::{Answer, PeerLinks, UserRequest};
@@ -65,7 +65,7 @@
     /// The leader's claim, while this controller is the acting leader.
     pub claim: Option<Condition>,
     /// Whether a well-formed job can ever run.
-    pub verdict: &'a dyn Fn(&JobSpec) -> Verdict,
+    pub feasibility: &'a dyn Fn(&JobSpec) -> Feasibility,
     /// The other controllers, and which of them are in reach.
     pub peers: &'a PeerLinks,
     /// Task counts of an unfinished job, if they are known here.
--- a/src/admission/refusal.rs
+++ b/src/admission/refusal.rs
@@ -59,24 +59,24 @@
 
 /// Whether a well-formed job can ever run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Feasibility {
     /// It can.
-    Acceptable,
+    Feasible,
     /// It can't.
-    Refused(Refusal),
+    Infeasible(Refusal),
     /// Unknown until the machine types are.
-    NotKnownYet,
+    Unknown,
 }
 
-impl Verdict {
+impl Feasibility {
     /// Judges a well-formed job by the teams and, once they are known, the machine types.
-    pub fn of(spec: &JobSpec, teams: &[Team], catalogue: Option<&Catalogue>) -> Verdict {
+    pub fn of(spec: &JobSpec, teams: &[Team], catalogue: Option<&Catalogue>) -> Feasibility {
         let Some(catalogue) = catalogue else {
-            return Verdict::NotKnownYet;
+            return Feasibility::Unknown;
         };
         match validation::check_feasible(spec, teams, catalogue) {
-            Ok(()) => Verdict::Acceptable,
-            Err(refusal) => Verdict::Refused(refusal),
+            Ok(()) => Feasibility::Feasible,
+            Err(refusal) => Feasibility::Infeasible(refusal),
         }
     }
 }
--- a/src/admission/refusal/tests.rs
+++ b/src/admission/refusal/tests.rs
@@ -61,20 +61,23 @@
 #[test]
 fn a_verdict_waits_for_the_machine_types_and_names_the_first_refusal() {
     let (teams, catalogue) = ([team()], catalogue());
-    let verdict = |spec: &JobSpec| Verdict::of(spec, &teams, Some(&catalogue));
-    assert_eq!(Verdict::of(&spec(), &teams, None), Verdict::NotKnownYet);
-    assert_eq!(verdict(&spec()), Verdict::Acceptable);
+    let feasibility = |spec: &JobSpec| Feasibility::of(spec, &teams, Some(&catalogue));
+    assert_eq!(Feasibility::of(&spec(), &teams, None), Feasibility::Unknown);
+    assert_eq!(feasibility(&spec()), Feasibility::Feasible);
     let stranger = JobSpec {
         team: "none".into(),
         cpus: 1e6,
         ..spec()
     };
-    assert_eq!(verdict(&stranger), Verdict::Refused(Refusal::UnknownTeam));
+    assert_eq!(feasibility(&stranger), Feasibility::Infeasible(Refusal::UnknownTeam));
     let greedy = JobSpec { gpus: 9.0, ..spec() };
-    assert_eq!(verdict(&greedy), Verdict::Refused(Refusal::OverTeamLimit));
+    assert_eq!(feasibility(&greedy), Feasibility::Infeasible(Refusal::OverTeamLimit));
     let elsewhere = JobSpec {
         zone: Some("b".into()),
         ..spec()
     };
-    assert_eq!(verdict(&elsewhere), Verdict::Refused(Refusal::FitsNoMachineType));
+    assert_eq!(
+        feasibility(&elsewhere),
+        Feasibility::Infeasible(Refusal::FitsNoMachineType)
+    );
 }
--- a/src/admission/submissions.rs
+++ b/src/admission/submissions.rs
@@ -2,7 +2,7 @@
 
 use super::answers::Unavailable;
 use super::writes::JobWrite;
-use super::{AdmissionContext, Refusal, Verdict};
+use super::{AdmissionContext, Feasibility, Refusal};
 use crate::memory;
 use crate::store::JobKey;
 use crate::wire::JobSpec;
@@ -22,13 +22,13 @@
 
 /// Decides on a well-formed submission.
 pub(super) fn decide(context: &AdmissionContext<'_>, spec: &JobSpec) -> Decision {
-    match (context.verdict)(spec) {
-        Verdict::Refused(refusal) => Decision::Refuse(refusal),
-        Verdict::NotKnownYet => Decision::Postpone(Unavailable::MachineTypesUnknown),
-        Verdict::Acceptable if !memory::has_room_for(context.limits, context.watch_cache, spec.tasks) => {
+    match (context.feasibility)(spec) {
+        Feasibility::Infeasible(refusal) => Decision::Refuse(refusal),
+        Feasibility::Unknown => Decision::Postpone(Unavailable::MachineTypesUnknown),
+        Feasibility::Feasible if !memory::has_room_for(context.limits, context.watch_cache, spec.tasks) => {
             Decision::Postpone(Unavailable::TooMuchUnfinishedWork)
         }
-        Verdict::Acceptable => Decision::Accept(Box::new(acceptance(context, spec))),
+        Feasibility::Feasible => Decision::Accept(Box::new(acceptance(context, spec))),
     }
 }
 
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -1,7 +1,7 @@
 //! Users' requests and health checks: admitted here, or forwarded to the leader.
 
 use super::{Controller, Output, Purpose, SHARD};
-use crate::admission::{Admission, AdmissionContext, AdmissionEffect, Requester, Verdict};
+use crate::admission::{Admission, AdmissionContext, AdmissionEffect, Feasibility, Requester};
 use crate::peers::{Answer, Message, UserRequest};
 use crate::store::{JobKey, StoreRequest};
 use crate::wire::JobSpec;
@@ -14,7 +14,7 @@
             .is_acting_leader(self.now)
             .then(|| self.election.condition(&self.keys));
         let (catalogue, teams) = (&self.catalogue, &self.settings.params.teams);
-        let verdict = |spec: &JobSpec| Verdict::of(spec, teams, catalogue.as_ref());
+        let feasibility = |spec: &JobSpec| Feasibility::of(spec, teams, catalogue.as_ref());
         let (shard, peers) = (&self.shard, &self.peers);
         let counts = |id: &str| match shard {
             Some(shard) => shard.task_counts(id),
@@ -27,7 +27,7 @@
             limits: &self.settings.params.limits,
             watch_cache: &self.watch_cache,
             claim,
-            verdict: &verdict,
+            feasibility: &feasibility,
             peers: &self.peers,
             counts: &counts,
         };
