--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -1,4 +1,4 @@
-//! The answers to users: statuses and bodies.
+//! HTTP statuses and bodies of the answers to users.
 
 use super::TaskCounts;
 use crate::peers::Answer;
@@ -11,10 +11,10 @@
 const STATUS_CREATED: u16 = 201;
 const STATUS_NOT_FOUND: u16 = 404;
 const STATUS_UNAVAILABLE: u16 = 503;
-/// When a user who can't be answered now should ask again.
+/// The `Retry-After` value, in seconds, of answers with status 503.
 const RETRY_AFTER_S: u32 = 1;
 
-/// Why a request can't be answered for now.
+/// Why a request can't be answered at present. The message is the `error` text of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum Unavailable {
     #[error("too many requests at once")]
@@ -29,7 +29,7 @@
     EndUnreadable,
     #[error("no answer in time")]
     NoAnswerInTime,
-    /// What was found contradicts itself, since it changed between two reads.
+    /// Two reads gave contradictory results because the job changed between them.
     #[error("try again")]
     ChangedMeanwhile,
 }
@@ -40,24 +40,24 @@
     }
 }
 
-/// A submission was accepted.
+/// Returns the answer to an accepted submission.
 pub(super) fn accepted(job_id: &str) -> Answer {
-    status_answer(STATUS_CREATED, &status(job_id, JobState::Queued))
+    job_status_answer(STATUS_CREATED, &job_status(job_id, JobState::Queued))
 }
 
-/// The job has ended.
+/// Returns the answer for a job that has ended. Only done jobs have task counts.
 pub(super) fn ended(job_id: &str, end: EndValue) -> Answer {
     let is_done = end.state == JobState::Done;
     let job = JobStatus {
         done: is_done.then_some(end.done),
         running: is_done.then_some(0),
-        ..status(job_id, end.state)
+        ..job_status(job_id, end.state)
     };
-    status_answer(STATUS_OK, &job)
+    job_status_answer(STATUS_OK, &job)
 }
 
-/// How a job ended, if that is what this answer of another controller says.
-pub(super) fn end_told(answer: &Answer) -> Option<EndValue> {
+/// Returns how the job ended, if another controller's answer reports its end.
+pub(super) fn end_in_answer(answer: &Answer) -> Option<EndValue> {
     if answer.status != STATUS_OK {
         return None;
     }
@@ -71,7 +71,8 @@
     }
 }
 
-/// The job is accepted and has not ended. Counts that aren't known are given as 0.
+/// Returns the answer for a job that is accepted and has not ended. Unknown counts are
+/// reported as 0.
 pub(super) fn unfinished(job_id: &str, counts: Option<TaskCounts>) -> Answer {
     let TaskCounts { done, running } = counts.unwrap_or_default();
     let state = if running > 0 {
@@ -82,17 +83,17 @@
     let job = JobStatus {
         done: Some(done),
         running: Some(running),
-        ..status(job_id, state)
+        ..job_status(job_id, state)
     };
-    status_answer(STATUS_OK, &job)
+    job_status_answer(STATUS_OK, &job)
 }
 
-/// No such job was ever accepted.
+/// Returns the answer for a job id under which no job was ever accepted.
 pub(super) fn not_found() -> Answer {
     error_answer(STATUS_NOT_FOUND, "no such job")
 }
 
-/// An answer whose body says what is wrong.
+/// Returns an answer whose body is a JSON object with this `error` text.
 pub fn error_answer(status: u16, error: &str) -> Answer {
     Answer {
         status,
@@ -101,7 +102,7 @@
     }
 }
 
-/// The service can't take it now; the user is told when to come back.
+/// Returns an answer with status 503 and a `Retry-After` value.
 pub fn service_unavailable(error: &str) -> Answer {
     Answer {
         retry_after_s: Some(RETRY_AFTER_S),
@@ -109,7 +110,7 @@
     }
 }
 
-fn status(job_id: &str, state: JobState) -> JobStatus {
+fn job_status(job_id: &str, state: JobState) -> JobStatus {
     JobStatus {
         id: job_id.into(),
         state,
@@ -118,7 +119,7 @@
     }
 }
 
-fn status_answer(status: u16, job: &JobStatus) -> Answer {
+fn job_status_answer(status: u16, job: &JobStatus) -> Answer {
     Answer {
         status,
         body: serde_json::to_string(job).unwrap_or_default(),
--- a/src/admission/answers/tests.rs
+++ b/src/admission/answers/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn answers_about_jobs_keep_their_bytes() {
+fn job_answers_have_the_exact_bodies_of_the_protocol() {
     let accepted_body = r#"{"id":"j-1","standing":"queued"}"#;
     assert_eq!(parts(accepted("j-1")), (201, accepted_body.into(), None));
     let done = EndValue {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn users_are_told_why_and_when_to_come_back() {
+fn unavailable_answers_have_a_reason_and_a_retry_delay() {
     let expected = [
         (Unavailable::TooManyRequests, "too many requests at once"),
         (Unavailable::TooMuchUnfinishedWork, "too much unfinished work"),
--- a/src/admission/cancellations.rs
+++ b/src/admission/cancellations.rs
@@ -6,15 +6,15 @@
 use crate::wire::{Change, JobState};
 use serde_json::json;
 
-/// The end of a cancelled job.
+/// The value of a cancelled job's end key.
 pub(super) const CANCELLED: EndValue = EndValue {
     state: JobState::Cancelled,
     done: 0,
 };
 
-/// The write that cancels a job, whose key now has this value and version. From then on the
-/// job's end is kept for good, and its own key says that it ended until it is cleaned up.
-pub(super) fn cancellation(context: &AdmissionContext<'_>, job: &JobKey, job_version: u64) -> JobWrite {
+/// Returns the write that cancels a job whose key currently has this value and version. It
+/// stores the job's end permanently and marks the job key as ended until the job is cleaned up.
+pub(super) fn cancellation_write(context: &AdmissionContext<'_>, job: &JobKey, job_version: u64) -> JobWrite {
     let put_end = Change::put(context.keys.end(&job.spec.id), json!(CANCELLED));
     let cancelled = JobKey {
         ended: Some(JobState::Cancelled),
--- a/src/admission/effects.rs
+++ b/src/admission/effects.rs
@@ -1,33 +1,33 @@
-//! What admission asks the controller to do.
+//! Actions that admission asks the controller to execute.
 
 use crate::peers::{Answer, UserRequest};
 use crate::store::JobKey;
 use crate::wire::Transaction;
 use std::sync::Arc;
 
-/// Who waits for the answer to a request.
+/// The party that is waiting for the answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Requester {
-    /// A user of this controller, by the number of the HTTP request.
+    /// A user connected to this controller, identified by the number of the HTTP request.
     User(u64),
     /// Another controller that forwarded the request.
     Peer {
         /// Name of that controller.
         node: String,
-        /// Number under which it forwarded the request.
+        /// The id that it gave the forwarded request.
         id: u64,
     },
 }
 
-/// What admission wants done. A reply is given back under the `request_id`.
+/// An action for the controller to execute. Its reply is passed back with the `request_id`.
 #[derive(Debug, PartialEq)]
 pub enum AdmissionEffect {
-    /// Answer a request.
+    /// Send the answer to a request.
     Answer(Requester, Answer),
-    /// Read the key that says how a job ended; the reply goes to
+    /// Read a job's end key; the reply goes to
     /// [`Admission::on_end_read`](super::Admission::on_end_read).
     ReadEnd {
-        /// The request that waits for it.
+        /// Id of the request that is waiting for the reply.
         request_id: u64,
         /// Name of the key.
         key: String,
@@ -35,28 +35,28 @@
     /// Send a create-once write; the reply goes to
     /// [`Admission::on_write_reply`](super::Admission::on_write_reply).
     Write {
-        /// The request that waits for it.
+        /// Id of the request that is waiting for the reply.
         request_id: u64,
-        /// The write.
+        /// The transaction to send.
         transaction: Arc<Transaction>,
     },
     /// Forward a request to another controller; the answer goes to
     /// [`Admission::on_peer_answer`](super::Admission::on_peer_answer).
     Forward {
-        /// The request that waits for it.
+        /// Id of the request that is waiting for the answer.
         request_id: u64,
         /// Name of that controller.
         node: String,
-        /// The request as the user made it.
+        /// The request to be answered there.
         user_request: UserRequest,
     },
-    /// Record a job key that was written by us.
+    /// Record a job key that this controller has written in the watch cache.
     RecordJob {
         /// Id of the job.
         id: String,
-        /// Value of the key.
+        /// The new value of the key.
         job: JobKey,
-        /// Revision of the write.
+        /// Store revision of the write, which is the new version of the key.
         revision: u64,
     },
 }
--- a/src/admission/end_cache.rs
+++ b/src/admission/end_cache.rs
@@ -1,31 +1,31 @@
-//! How jobs ended, for those lately asked about.
+//! A cache of the ends of jobs that users have recently asked about.
 
 use crate::store::EndValue;
 use std::collections::{HashMap, VecDeque};
 
-/// Ends remembered; those of other jobs are read again when asked for.
-const MAX_REMEMBERED: usize = 20_000;
+/// The maximum number of cached ends. Ends of other jobs are read from the state service.
+const MAX_CACHED_ENDS: usize = 20_000;
 
-/// A bounded cache of how jobs ended, which forgets the one remembered first. An end
-/// can't change any more, so what is remembered is never out of date.
+/// A bounded cache of how jobs ended, which evicts the entry inserted first. An end is
+/// final, so entries are never stale.
 #[derive(Debug, Default)]
-pub(super) struct RememberedEnds {
+pub(super) struct EndCache {
     ends: HashMap<String, EndValue>,
-    /// Ids of the remembered jobs, the oldest first.
+    /// Ids of the cached jobs in the order of insertion.
     order: VecDeque<String>,
 }
 
-impl RememberedEnds {
+impl EndCache {
     pub(super) fn get(&self, job_id: &str) -> Option<EndValue> {
         self.ends.get(job_id).copied()
     }
 
-    pub(super) fn remember(&mut self, job_id: &str, end: EndValue) {
+    pub(super) fn insert(&mut self, job_id: &str, end: EndValue) {
         if self.ends.insert(job_id.into(), end).is_some() {
             return;
         }
         self.order.push_back(job_id.into());
-        if self.order.len() > MAX_REMEMBERED
+        if self.order.len() > MAX_CACHED_ENDS
             && let Some(oldest) = self.order.pop_front()
         {
             self.ends.remove(&oldest);
--- a/src/admission/job_request.rs
+++ b/src/admission/job_request.rs
@@ -1,61 +1,61 @@
-//! What a user's request asks for, and about which job.
+//! Parsed user requests: the job concerned and the requested operation.
 
 use super::validation::{self, is_valid_id};
 use super::{Refusal, answers};
 use crate::peers::{Answer, UserRequest};
 use crate::wire::JobSpec;
 
-/// What is asked of a job.
+/// The requested operation.
 #[derive(Debug)]
-pub(super) enum QuestionKind {
-    /// To accept it.
+pub(super) enum JobRequestKind {
+    /// Accept this job.
     Submission(Box<JobSpec>),
-    /// To accept it, which is refused unless it is known already.
+    /// Accept a job whose submission is refused for this reason, unless it is already known.
     RefusedSubmission(Refusal),
-    /// What state it is in.
+    /// Show the state of the job.
     Poll,
-    /// To cancel it.
+    /// Cancel the job.
     Cancellation,
 }
 
-/// A request about a job.
+/// A request about one job.
 #[derive(Debug)]
-pub(super) struct Question {
+pub(super) struct JobRequest {
     pub(super) job_id: String,
-    pub(super) kind: QuestionKind,
+    pub(super) kind: JobRequestKind,
 }
 
-impl Question {
-    /// Reads a user's request. One that names no valid job id is answered at once.
-    pub(super) fn read(user_request: &UserRequest) -> Result<Question, Answer> {
+impl JobRequest {
+    /// Parses a user's request. Returns the answer if the request has no valid job id.
+    pub(super) fn parse(user_request: &UserRequest) -> Result<JobRequest, Answer> {
         match user_request {
-            UserRequest::Submit(body) => Question::read_submission(body),
-            UserRequest::Show(job_id) => Question::about(job_id, QuestionKind::Poll),
-            UserRequest::Cancel(job_id) => Question::about(job_id, QuestionKind::Cancellation),
+            UserRequest::Submit(body) => JobRequest::parse_submission(body),
+            UserRequest::Show(job_id) => JobRequest::for_job(job_id, JobRequestKind::Poll),
+            UserRequest::Cancel(job_id) => JobRequest::for_job(job_id, JobRequestKind::Cancellation),
         }
     }
 
-    fn read_submission(body: &str) -> Result<Question, Answer> {
+    fn parse_submission(body: &str) -> Result<JobRequest, Answer> {
         match validation::parse(body) {
-            Ok(spec) => Ok(Question {
+            Ok(spec) => Ok(JobRequest {
                 job_id: spec.id.clone(),
-                kind: QuestionKind::Submission(Box::new(spec)),
+                kind: JobRequestKind::Submission(Box::new(spec)),
             }),
             Err(malformed) => match malformed.job_id {
-                Some(job_id) => Ok(Question {
+                Some(job_id) => Ok(JobRequest {
                     job_id,
-                    kind: QuestionKind::RefusedSubmission(malformed.refusal),
+                    kind: JobRequestKind::RefusedSubmission(malformed.refusal),
                 }),
                 None => Err(malformed.refusal.answer()),
             },
         }
     }
 
-    fn about(job_id: &str, kind: QuestionKind) -> Result<Question, Answer> {
+    fn for_job(job_id: &str, kind: JobRequestKind) -> Result<JobRequest, Answer> {
         if !is_valid_id(job_id) {
             return Err(answers::not_found());
         }
         let job_id = job_id.to_owned();
-        Ok(Question { job_id, kind })
+        Ok(JobRequest { job_id, kind })
     }
 }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,17 +1,17 @@
 //! Admission of users' requests: submissions, polls and cancellations.
 //!
-//! Every answer that could be out of date is confirmed first: the watch cache is
-//! brought up to date by a read sent after the request came (one read serves
-//! all requests then waiting). Acceptances and cancellations are answered only
+//! An answer that could be stale is confirmed first: a *confirming read*, sent after the
+//! request was received, brings the watch cache up to date. One read serves all requests
+//! that are waiting when it is sent. Acceptances and cancellations are answered only
 //! once their create-once write is known to have succeeded.
 //!
-//! What was read may be overtaken before it is told: a reply can take longer than a
-//! cancellation that was asked for later. So every answer to a pending request is checked
-//! against what is known by then of the job's end ([`Admission::finish`]), and an end that
-//! this controller has told is remembered.
+//! A read can become stale before its result is answered: its reply can take longer than a
+//! cancellation that was requested later. Therefore every answer to a pending request is
+//! checked against the end of the job that is known by then ([`Admission::finish`]), and
+//! each end that this controller has reported to a user is cached.
 //!
-//! Admission does no I/O. Each of its methods returns the [`AdmissionEffect`]s that the
-//! controller is to carry out, whose replies come back under the request's id.
+//! Admission does no I/O. Each of its methods returns the [`AdmissionEffect`]s for the
+//! controller to execute. Their replies are passed back with the id of the request.
 
 mod answers;
 mod cancellations;
@@ -38,52 +38,53 @@
 use crate::wire::{Condition, JobSpec};
 use answers::Unavailable;
 use confirmations::ConfirmingReads;
-use end_cache::RememberedEnds;
-use job_request::{Question, QuestionKind};
+use end_cache::EndCache;
+use job_request::{JobRequest, JobRequestKind};
 use pending::{Awaited, PendingRequest};
 use std::collections::BTreeMap;
 use submissions::Decision;
 
-/// Requests pending at once; further ones are turned away.
+/// The maximum number of pending requests. Further requests are rejected with a retry hint.
 const MAX_PENDING: usize = 400;
-/// How long to wait for another controller's answer. Writing it ourselves is as safe
-/// as waiting: the write is create-once, and the leader hears of it by its watch.
-const FORWARD_PATIENCE_MS: Millis = 100;
+/// How long to wait for another controller's answer before processing the request here.
+/// Processing it here is equally safe: the write is create-once, and the leader learns of
+/// it through its watch.
+const FORWARD_TIMEOUT_MS: Millis = 100;
 
-/// What an answer depends on beyond admission's own state.
+/// The state outside of admission that answers depend on.
 pub struct AdmissionContext<'a> {
-    /// Time on the monotonic clock.
+    /// Milliseconds on the monotonic clock.
     pub now: Millis,
-    /// Time of day, with which an accepted job is stored.
+    /// Milliseconds on the wall clock; stored as the time of acceptance of a job.
     pub wall_clock: Millis,
-    /// Names of the keys in the state service.
+    /// Names of the shard's keys in the state service.
     pub keys: &'a Keys,
-    /// The watched keys, as far as they are known here.
+    /// This controller's copy of the watched keys.
     pub watch_cache: &'a WatchCache,
-    /// Limits of this controller, one of which bounds the unfinished work.
+    /// Limits of this controller, including the memory limit that bounds unfinished work.
     pub limits: &'a Limits,
-    /// The leader's claim, while this controller is the acting leader.
+    /// The condition that the claim still holds, while this controller is the acting leader.
     pub claim: Option<Condition>,
-    /// Whether a well-formed job can ever run.
+    /// Determines whether a well-formed job can ever run.
     pub feasibility: &'a dyn Fn(&JobSpec) -> Feasibility,
-    /// The other controllers, and which of them are in reach.
+    /// The other controllers and their reachability.
     pub peers: &'a PeerLinks,
-    /// Task counts of an unfinished job, if they are known here.
+    /// Returns the task counts of an unfinished job, if this controller knows them.
     pub counts: &'a dyn Fn(&str) -> Option<TaskCounts>,
 }
 
-/// The requests that users wait for at this controller.
+/// The pending user requests of this controller.
 #[derive(Debug, Default)]
 pub struct Admission {
     pending: BTreeMap<u64, PendingRequest>,
     next_request_id: u64,
     confirming_reads: ConfirmingReads,
-    remembered_ends: RememberedEnds,
+    end_cache: EndCache,
 }
 
 impl Admission {
-    /// Takes a request. `forward_to` is the controller that should answer it, if it is
-    /// not this one.
+    /// Handles a new request. `forward_to` names the controller that should answer it, or is
+    /// `None` if this controller should.
     pub fn handle(
         &mut self,
         context: &AdmissionContext<'_>,
@@ -91,23 +92,23 @@
         user_request: UserRequest,
         forward_to: Option<String>,
     ) -> Vec<AdmissionEffect> {
-        let question = match Question::read(&user_request) {
-            Ok(question) => question,
+        let job_request = match JobRequest::parse(&user_request) {
+            Ok(job_request) => job_request,
             Err(answer) => return vec![AdmissionEffect::Answer(requester, answer)],
         };
-        if let Some(answer) = self.immediate_answer(context.watch_cache, &question) {
+        if let Some(answer) = self.immediate_answer(context.watch_cache, &job_request) {
             return vec![AdmissionEffect::Answer(requester, answer)];
         }
-        let mut request = PendingRequest::new(requester, question, context.now);
+        let mut request = PendingRequest::new(requester, job_request, context.now);
         let request_id = self.next_request_id;
         self.next_request_id += 1;
         let Some(node) = forward_to else {
             self.pending.insert(request_id, request);
-            return self.begin(context, request_id);
+            return self.process(context, request_id);
         };
         request.awaited = Awaited::PeerAnswer {
             node: node.clone(),
-            give_up_at: context.now + FORWARD_PATIENCE_MS,
+            deadline: context.now + FORWARD_TIMEOUT_MS,
         };
         self.pending.insert(request_id, request);
         vec![AdmissionEffect::Forward {
@@ -117,13 +118,13 @@
         }]
     }
 
-    /// The answer that can be given without waiting: the job's end, which can't change
-    /// any more, or that there are too many requests. A cancellation that was not told
-    /// here has to be confirmed at the other controllers.
-    fn immediate_answer(&self, watch_cache: &WatchCache, question: &Question) -> Option<Answer> {
-        let job_id = &question.job_id;
-        let end = match question.kind {
-            QuestionKind::Cancellation => self.remembered_ends.get(job_id),
+    /// Returns the answer if it can be given without waiting: the job's end, which is final,
+    /// or the rejection because of too many pending requests. A cancellation that this
+    /// controller has not reported yet must first be confirmed by the other controllers.
+    fn immediate_answer(&self, watch_cache: &WatchCache, job_request: &JobRequest) -> Option<Answer> {
+        let job_id = &job_request.job_id;
+        let end = match job_request.kind {
+            JobRequestKind::Cancellation => self.end_cache.get(job_id),
             _ => self.known_end(watch_cache, job_id),
         };
         if let Some(end) = end {
@@ -132,36 +133,36 @@
         (self.pending.len() >= MAX_PENDING).then(|| Unavailable::TooManyRequests.answer())
     }
 
-    /// How a job ended, if that is known here.
+    /// Returns how a job ended, if this controller knows it.
     fn known_end(&self, watch_cache: &WatchCache, job_id: &str) -> Option<EndValue> {
-        self.remembered_ends
+        self.end_cache
             .get(job_id)
-            .or_else(|| watched_end(watch_cache, job_id))
+            .or_else(|| end_in_watch_cache(watch_cache, job_id))
     }
 
-    /// Starts, or starts again, on a request that is ours to answer.
-    fn begin(&mut self, context: &AdmissionContext<'_>, request_id: u64) -> Vec<AdmissionEffect> {
+    /// Starts or restarts the processing of a request that this controller answers.
+    fn process(&mut self, context: &AdmissionContext<'_>, request_id: u64) -> Vec<AdmissionEffect> {
         let Some(request) = self.pending.get_mut(&request_id) else {
             return Vec::new();
         };
-        let question = &mut request.question;
-        let known = context.watch_cache.jobs().contains_key(&question.job_id);
-        if let QuestionKind::Submission(spec) = &question.kind
+        let job_request = &mut request.job_request;
+        let known = context.watch_cache.jobs().contains_key(&job_request.job_id);
+        if let JobRequestKind::Submission(spec) = &job_request.kind
             && !known
         {
             match submissions::decide(context, spec) {
                 Decision::Accept(write) => return request.start_write(request_id, write),
                 Decision::Postpone(reason) => return self.finish(context, request_id, reason.answer()),
-                // Told to the user only once it is confirmed that the job is not known.
-                Decision::Refuse(refusal) => question.kind = QuestionKind::RefusedSubmission(refusal),
+                // The refusal is answered only after a read has confirmed that the job is unknown.
+                Decision::Refuse(refusal) => job_request.kind = JobRequestKind::RefusedSubmission(refusal),
             }
         }
         self.await_confirming_read(request_id);
         Vec::new()
     }
 
-    /// Another controller answered. Its "can't take it" is final too: it said
-    /// so knowing more than we do.
+    /// Handles another controller's answer. An answer that the request can't be processed
+    /// is final too, since that controller has more recent information than this one.
     pub fn on_peer_answer(
         &mut self,
         context: &AdmissionContext<'_>,
@@ -174,16 +175,17 @@
         };
         match request.awaited {
             Awaited::PeerAnswer { .. } => {}
-            Awaited::PeerConfirmations { .. } => return self.confirmed_by_peer(context, request_id, node),
+            Awaited::PeerConfirmations { .. } => return self.on_peer_confirmation(context, request_id, node),
             _ => return Vec::new(),
         }
-        if let Some(end) = answers::end_told(&answer) {
-            self.remembered_ends.remember(&request.question.job_id, end);
+        if let Some(end) = answers::end_in_answer(&answer) {
+            self.end_cache.insert(&request.job_request.job_id, end);
         }
         self.finish(context, request_id, answer)
     }
 
-    /// Gives up what waited too long; takes back what was forwarded in vain.
+    /// Answers requests that have timed out, processes requests here whose forwarding has
+    /// failed, and answers cancellations whose confirmation is complete.
     pub fn tick(&mut self, context: &AdmissionContext<'_>) -> Vec<AdmissionEffect> {
         let mut effects = Vec::new();
         let request_ids: Vec<u64> = self.pending.keys().copied().collect();
@@ -191,10 +193,10 @@
             let Some(request) = self.pending.get(&request_id) else {
                 continue;
             };
-            if request.is_out_of_time(context.now) {
+            if request.is_timed_out(context.now) {
                 effects.extend(self.finish(context, request_id, Unavailable::NoAnswerInTime.answer()));
-            } else if request.is_forwarded_in_vain(context.now, context.peers) {
-                effects.extend(self.begin(context, request_id));
+            } else if request.has_forward_failed(context.now, context.peers) {
+                effects.extend(self.process(context, request_id));
             } else {
                 effects.extend(self.answer_if_confirmed(context, request_id));
             }
@@ -202,40 +204,40 @@
         effects
     }
 
-    /// Answers a pending request. An end that became known while the answer was worked
-    /// out is told in its place: users of this controller may have heard of it already,
-    /// and nothing older may follow.
+    /// Answers a pending request. If the job's end has become known in the meantime, it
+    /// replaces the given answer: users of this controller may already have seen the end,
+    /// and no older state may be reported after it.
     fn finish(&mut self, context: &AdmissionContext<'_>, request_id: u64, answer: Answer) -> Vec<AdmissionEffect> {
         let Some(request) = self.pending.remove(&request_id) else {
             return Vec::new();
         };
-        let job_id = &request.question.job_id;
+        let job_id = &request.job_request.job_id;
         let answer = match self.known_end(context.watch_cache, job_id) {
             Some(end) => {
-                let newest = answers::ended(job_id, end);
-                if newest.body != answer.body {
-                    tracing::debug!(job = job_id, "the job's end overtook an older answer");
+                let final_answer = answers::ended(job_id, end);
+                if final_answer.body != answer.body {
+                    tracing::debug!(job = job_id, "replaced a stale answer with the job's end");
                 }
-                newest
+                final_answer
             }
             None => answer,
         };
         vec![AdmissionEffect::Answer(request.requester, answer)]
     }
 
-    /// Number of pending requests.
+    /// Returns the number of pending requests.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether no request is pending.
+    /// Returns whether no request is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 }
 
-/// How a job ended, if its watched key still says so.
-fn watched_end(watch_cache: &WatchCache, job_id: &str) -> Option<EndValue> {
+/// Returns how a job ended, if its key still exists and is marked as ended.
+fn end_in_watch_cache(watch_cache: &WatchCache, job_id: &str) -> Option<EndValue> {
     let (job, _) = watch_cache.jobs().get(job_id)?;
     Some(EndValue {
         state: job.ended?,
--- a/src/admission/peer_confirmations.rs
+++ b/src/admission/peer_confirmations.rs
@@ -1,24 +1,28 @@
-//! Cancellations that the other controllers have to know of before their user is told.
+//! Confirmation of cancellations by the other controllers before the user is answered.
 //!
-//! A controller that read a job's state before the cancellation may answer with it later:
-//! only the reply is slow. So it is asked about the job after the commit. Its confirming
-//! reads are answered in the order in which they are sent, so that by the time it replies it
-//! has answered whatever it had read before, and from then on knows of the end.
+//! A controller whose read of a job was executed before the cancellation may still answer
+//! with the old state afterwards, because the reply to the read is slow. Therefore each
+//! reachable controller is asked for the job's state after the commit. A controller's
+//! confirming reads are answered in the order in which they are sent, so by the time it
+//! replies, it has answered every request that depended on an earlier read, and it knows of
+//! the job's end from then on.
 
-use super::pending::{Awaited, POLL_PATIENCE_MS};
+use super::pending::{Awaited, POLL_TIMEOUT_MS};
 use super::{Admission, AdmissionContext, AdmissionEffect, answers};
 use crate::Millis;
 use crate::peers::UserRequest;
 use crate::store::EndValue;
 use std::collections::BTreeSet;
 
-/// A poll that came before the commit is given up by then, also by a controller that does
-/// not reply: polls wait no longer than this, and are given up at a tick.
-const LONGEST_WAIT_MS: Millis = POLL_PATIENCE_MS + 100;
+/// How long to wait for confirmations. Polls received before the commit have timed out by
+/// then, even at a controller that does not reply: polls are pending for at most
+/// `POLL_TIMEOUT_MS` and are timed out by the next tick.
+const MAX_CONFIRMATION_WAIT_MS: Millis = POLL_TIMEOUT_MS + 100;
 
 impl Admission {
-    /// The job is known to be cancelled: tells the user once the other controllers know.
-    pub(super) fn confirm_at_peers(
+    /// Asks the other controllers to confirm that the job has ended. The user is answered once
+    /// all of them have confirmed it, or after `MAX_CONFIRMATION_WAIT_MS`.
+    pub(super) fn request_peer_confirmations(
         &mut self,
         context: &AdmissionContext<'_>,
         request_id: u64,
@@ -27,18 +31,18 @@
         let Some(request) = self.pending.get_mut(&request_id) else {
             return Vec::new();
         };
-        let job_id = request.question.job_id.clone();
-        self.remembered_ends.remember(&job_id, end);
-        let missing: BTreeSet<String> = context.peers.names().into_iter().collect();
-        let asked: Vec<String> = missing
+        let job_id = request.job_request.job_id.clone();
+        self.end_cache.insert(&job_id, end);
+        let unconfirmed: BTreeSet<String> = context.peers.names().into_iter().collect();
+        let asked: Vec<String> = unconfirmed
             .iter()
             .filter(|node| context.peers.is_peer_reachable(context.now, node))
             .cloned()
             .collect();
         request.awaited = Awaited::PeerConfirmations {
             end,
-            missing,
-            answer_at: context.now + LONGEST_WAIT_MS,
+            unconfirmed,
+            answer_at: context.now + MAX_CONFIRMATION_WAIT_MS,
         };
         let ask = |node| AdmissionEffect::Forward {
             request_id,
@@ -50,22 +54,23 @@
         effects
     }
 
-    /// A controller replied: it answers nothing older about the job any more.
-    pub(super) fn confirmed_by_peer(
+    /// Handles another controller's confirmation: it no longer answers with an older state of
+    /// the job.
+    pub(super) fn on_peer_confirmation(
         &mut self,
         context: &AdmissionContext<'_>,
         request_id: u64,
         node: &str,
     ) -> Vec<AdmissionEffect> {
         if let Some(request) = self.pending.get_mut(&request_id)
-            && let Awaited::PeerConfirmations { missing, .. } = &mut request.awaited
+            && let Awaited::PeerConfirmations { unconfirmed, .. } = &mut request.awaited
         {
-            missing.remove(node);
+            unconfirmed.remove(node);
         }
         self.answer_if_confirmed(context, request_id)
     }
 
-    /// Answers the user if all others know of the end, or have had the time.
+    /// Answers the user if all other controllers have confirmed the end or the wait is over.
     pub(super) fn answer_if_confirmed(
         &mut self,
         context: &AdmissionContext<'_>,
@@ -77,10 +82,10 @@
         match &request.awaited {
             Awaited::PeerConfirmations {
                 end,
-                missing,
+                unconfirmed,
                 answer_at,
-            } if missing.is_empty() || context.now >= *answer_at => {
-                let answer = answers::ended(&request.question.job_id, *end);
+            } if unconfirmed.is_empty() || context.now >= *answer_at => {
+                let answer = answers::ended(&request.job_request.job_id, *end);
                 self.finish(context, request_id, answer)
             }
             _ => Vec::new(),
--- a/src/admission/pending.rs
+++ b/src/admission/pending.rs
@@ -1,64 +1,64 @@
-//! A request that waits for something, and what it waits for.
+//! Pending requests and what they are waiting for.
 
 use super::writes::JobWrite;
-use super::{AdmissionEffect, Question, QuestionKind, Requester};
+use super::{AdmissionEffect, JobRequest, JobRequestKind, Requester};
 use crate::Millis;
 use crate::peers::PeerLinks;
 use crate::store::EndValue;
 use std::collections::BTreeSet;
 
-/// How long a submission or a cancellation may wait: users give up after 5 s.
-const WRITE_PATIENCE_MS: Millis = 3_500;
-/// How long a poll may wait: users give up after 2 s.
-pub(super) const POLL_PATIENCE_MS: Millis = 1_700;
+/// How long a submission or a cancellation may be pending. Users time out after 5 s.
+const WRITE_TIMEOUT_MS: Millis = 3_500;
+/// How long a poll may be pending. Users time out after 2 s.
+pub(super) const POLL_TIMEOUT_MS: Millis = 1_700;
 
-/// What a pending request waits for.
+/// What a pending request is waiting for.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Awaited {
-    /// The confirming read with this number, or a later one.
+    /// The reply to the confirming read with this number or a later one.
     ConfirmingRead(u64),
-    /// The read of the key that says how the job ended.
+    /// The reply to the read of the job's end key.
     EndRead,
     /// The reply to a create-once write.
     WriteReply(Box<JobWrite>),
-    /// The answer of another controller.
+    /// The answer of another controller to the forwarded request.
     PeerAnswer {
         /// Name of that controller.
         node: String,
-        /// When the request is answered here instead.
-        give_up_at: Millis,
+        /// When this controller starts to process the request itself.
+        deadline: Millis,
     },
-    /// That other controllers know how the job ended.
+    /// Confirmations from the other controllers that they know how the job ended.
     PeerConfirmations {
-        /// How it ended.
+        /// How the job ended.
         end: EndValue,
-        /// Names of those that have not confirmed it yet.
-        missing: BTreeSet<String>,
-        /// When the user is told whether or not they have.
+        /// Names of the controllers that have not confirmed it yet.
+        unconfirmed: BTreeSet<String>,
+        /// When the user is answered even if confirmations are still missing.
         answer_at: Millis,
     },
 }
 
-/// A request that was not answered yet.
+/// A request that has not been answered yet.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
     pub(super) requester: Requester,
-    pub(super) question: Question,
+    pub(super) job_request: JobRequest,
     pub(super) awaited: Awaited,
-    started_at: Millis,
+    received_at: Millis,
 }
 
 impl PendingRequest {
-    pub(super) fn new(requester: Requester, question: Question, now: Millis) -> PendingRequest {
+    pub(super) fn new(requester: Requester, job_request: JobRequest, now: Millis) -> PendingRequest {
         PendingRequest {
             requester,
-            question,
+            job_request,
             awaited: Awaited::ConfirmingRead(0),
-            started_at: now,
+            received_at: now,
         }
     }
 
-    /// Sends a create-once write and waits for its reply.
+    /// Sends a create-once write and makes the request wait for its reply.
     pub(super) fn start_write(&mut self, request_id: u64, write: Box<JobWrite>) -> Vec<AdmissionEffect> {
         let transaction = write.transaction.clone();
         self.awaited = Awaited::WriteReply(write);
@@ -68,24 +68,25 @@
         }]
     }
 
-    /// Whether its user has waited as long as makes sense.
-    pub(super) fn is_out_of_time(&self, now: Millis) -> bool {
-        let patience = match self.question.kind {
-            QuestionKind::Poll => POLL_PATIENCE_MS,
-            _ => WRITE_PATIENCE_MS,
+    /// Returns whether the request has been pending for longer than its timeout.
+    pub(super) fn is_timed_out(&self, now: Millis) -> bool {
+        let timeout = match self.job_request.kind {
+            JobRequestKind::Poll => POLL_TIMEOUT_MS,
+            _ => WRITE_TIMEOUT_MS,
         };
-        now >= self.started_at + patience
+        now >= self.received_at + timeout
     }
 
-    /// Whether a write without an answer is worth repeating.
-    pub(super) fn may_write_again(&self, now: Millis) -> bool {
-        now < self.started_at + WRITE_PATIENCE_MS
+    /// Returns whether there is time left to retry an unanswered write.
+    pub(super) fn may_retry_write(&self, now: Millis) -> bool {
+        now < self.received_at + WRITE_TIMEOUT_MS
     }
 
-    /// Whether the other controller that it was forwarded to is silent or out of reach.
-    pub(super) fn is_forwarded_in_vain(&self, now: Millis, peers: &PeerLinks) -> bool {
+    /// Returns whether the request was forwarded to a controller that did not answer in time
+    /// or has become unreachable.
+    pub(super) fn has_forward_failed(&self, now: Millis, peers: &PeerLinks) -> bool {
         match &self.awaited {
-            Awaited::PeerAnswer { node, give_up_at } => now >= *give_up_at || !peers.is_peer_reachable(now, node),
+            Awaited::PeerAnswer { node, deadline } => now >= *deadline || !peers.is_peer_reachable(now, node),
             _ => false,
         }
     }
--- a/src/admission/refusal.rs
+++ b/src/admission/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a submission is refused for good.
+//! Reasons for the permanent refusal of a submission.
 
 use super::answers::error_answer;
 use super::validation::{self, MAX_TASKS};
@@ -10,37 +10,38 @@
 const STATUS_MALFORMED: u16 = 400;
 const STATUS_IMPOSSIBLE: u16 = 422;
 
-/// Why a submission is refused for good. The message is what its user reads.
+/// Why a submission is permanently refused. The message is the `error` text of the answer.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Refusal {
     /// The body is not JSON, or a field is missing or of another type. Holds the parser's message.
     #[error("{0}")]
     Unreadable(String),
-    /// The id is not of the form that the protocol gives.
+    /// The job id does not have the form that the protocol requires.
     #[error("bad job id")]
     InvalidId,
-    /// The job has no tasks or too many.
+    /// The job has no tasks, or more than `MAX_TASKS`.
     #[error("the number of tasks must be 1 to {}", MAX_TASKS)]
     TaskCountOutOfRange,
     /// An amount or a duration is negative or not a number.
     #[error("amounts and durations must not be negative")]
     NegativeAmount,
-    /// No image is named.
+    /// The image name is empty.
     #[error("an image must be named")]
     MissingImage,
-    /// The settings name no such team.
+    /// The settings have no team of this name.
     #[error("unknown team")]
     UnknownTeam,
-    /// A single task takes more than its team may use.
+    /// A single task needs more CPUs or GPUs than its team may use.
     #[error("one task needs more than the team's limit")]
     OverTeamLimit,
-    /// No machine type and zone that the job allows has room for one of its tasks.
+    /// No allowed machine type that is offered in the required zone is large enough for a task.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
 }
 
 impl Refusal {
-    /// The HTTP status that goes with it.
+    /// Returns the HTTP status of the answer: 400 for a malformed submission, 422 for one that
+    /// can never run.
     pub fn status(&self) -> u16 {
         match self {
             Refusal::Unreadable(_)
@@ -57,19 +58,20 @@
     }
 }
 
-/// Whether a well-formed job can ever run.
+/// Whether a well-formed job can ever run on the configured teams and machine types.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Feasibility {
-    /// It can.
+    /// The job can run.
     Feasible,
-    /// It can't.
+    /// The job can never run, for this reason.
     Infeasible(Refusal),
-    /// Unknown until the machine types are.
+    /// The machine types have not been loaded yet.
     Unknown,
 }
 
 impl Feasibility {
-    /// Judges a well-formed job by the teams and, once they are known, the machine types.
+    /// Checks a well-formed job against the teams and the machine types. `catalogue` is `None`
+    /// until the machine types are known.
     pub fn of(spec: &JobSpec, teams: &[Team], catalogue: Option<&Catalogue>) -> Feasibility {
         let Some(catalogue) = catalogue else {
             return Feasibility::Unknown;
--- a/src/admission/refusal/tests.rs
+++ b/src/admission/refusal/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 
 #[test]
-fn users_read_the_status_and_the_reason_of_a_refusal() {
+fn a_refusal_is_answered_with_its_status_and_reason() {
     let parser_message = "expected value at line 1 column 1";
     let expected = [
         (Refusal::Unreadable(parser_message.into()), 400, parser_message),
@@ -59,25 +59,31 @@
 }
 
 #[test]
-fn a_verdict_waits_for_the_machine_types_and_names_the_first_refusal() {
+fn feasibility_is_unknown_without_machine_types_and_reports_the_first_refusal() {
     let (teams, catalogue) = ([team()], catalogue());
     let feasibility = |spec: &JobSpec| Feasibility::of(spec, &teams, Some(&catalogue));
     assert_eq!(Feasibility::of(&spec(), &teams, None), Feasibility::Unknown);
     assert_eq!(feasibility(&spec()), Feasibility::Feasible);
-    let stranger = JobSpec {
+    let unknown_team = JobSpec {
         team: "none".into(),
         cpus: 1e6,
         ..spec()
     };
-    assert_eq!(feasibility(&stranger), Feasibility::Infeasible(Refusal::UnknownTeam));
-    let greedy = JobSpec { gpus: 9.0, ..spec() };
-    assert_eq!(feasibility(&greedy), Feasibility::Infeasible(Refusal::OverTeamLimit));
-    let elsewhere = JobSpec {
+    assert_eq!(
+        feasibility(&unknown_team),
+        Feasibility::Infeasible(Refusal::UnknownTeam)
+    );
+    let over_team_limit = JobSpec { gpus: 9.0, ..spec() };
+    assert_eq!(
+        feasibility(&over_team_limit),
+        Feasibility::Infeasible(Refusal::OverTeamLimit)
+    );
+    let unavailable_zone = JobSpec {
         zone: Some("b".into()),
         ..spec()
     };
     assert_eq!(
-        feasibility(&elsewhere),
+        feasibility(&unavailable_zone),
         Feasibility::Infeasible(Refusal::FitsNoMachineType)
     );
 }
--- a/src/admission/submissions.rs
+++ b/src/admission/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions: whether a job that isn't known yet is accepted.
+//! Decides whether a submitted job that is not known yet is accepted.
 
 use super::answers::Unavailable;
 use super::writes::JobWrite;
@@ -8,15 +8,15 @@
 use crate::wire::JobSpec;
 
 /// The version of a key that does not exist.
-const ABSENT: u64 = 0;
+const ABSENT_KEY_VERSION: u64 = 0;
 
-/// What becomes of a submission.
+/// The outcome of a submission.
 pub(super) enum Decision {
-    /// It is accepted once this write has succeeded.
+    /// The job is accepted once this write has succeeded.
     Accept(Box<JobWrite>),
-    /// It is refused for good.
+    /// The job is permanently refused.
     Refuse(Refusal),
-    /// It can't be decided on, or taken, for now.
+    /// The job can't be accepted or refused at present; the user may retry.
     Postpone(Unavailable),
 }
 
@@ -28,15 +28,16 @@
         Feasibility::Feasible if !memory::has_room_for(context.limits, context.watch_cache, spec.tasks) => {
             Decision::Postpone(Unavailable::TooMuchUnfinishedWork)
         }
-        Feasibility::Feasible => Decision::Accept(Box::new(acceptance(context, spec))),
+        Feasibility::Feasible => Decision::Accept(Box::new(acceptance_write(context, spec))),
     }
 }
 
-fn acceptance(context: &AdmissionContext<'_>, spec: &JobSpec) -> JobWrite {
+/// Returns the write that creates the job's key.
+fn acceptance_write(context: &AdmissionContext<'_>, spec: &JobSpec) -> JobWrite {
     let job = JobKey {
         spec: spec.clone(),
         accepted_ms: context.wall_clock,
         ended: None,
     };
-    JobWrite::new(context, job, ABSENT, Vec::new())
+    JobWrite::new(context, job, ABSENT_KEY_VERSION, Vec::new())
 }
--- a/src/admission/validation.rs
+++ b/src/admission/validation.rs
@@ -1,34 +1,34 @@
-//! Reads submissions, and checks whether they are well-formed and can ever run.
+//! Parses submissions and checks whether they are well-formed and can ever run.
 
 use super::Refusal;
 use crate::settings::Team;
 use crate::wire::{Catalogue, JobSpec, MachineType};
 
-/// The most tasks of a job.
+/// The maximum number of tasks in a job.
 pub(super) const MAX_TASKS: u32 = 100_000;
 const JOB_ID_PREFIX: &str = "j-";
-/// The most digits of a job id.
+/// The maximum number of digits in a job id.
 const MAX_ID_DIGITS: usize = 20;
-/// Allows for the rounding of amounts when they are compared with a team's limit.
-const ROUNDING: f64 = 1e-9;
+/// Tolerance for floating-point rounding when an amount is compared with a team's limit.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// A malformed submission.
 #[derive(Debug, PartialEq)]
 pub(super) struct MalformedSubmission {
-    /// The id, if there is a valid one: a job known under it is answered whatever the
-    /// rest of this body says.
+    /// The job id, if it is valid. If a job with this id is known, the answer reports that job
+    /// regardless of the rest of the body.
     pub(super) job_id: Option<String>,
     pub(super) refusal: Refusal,
 }
 
-/// Whether it is an id of the form that the protocol gives: `j-` and digits.
+/// Returns whether the id has the form that the protocol requires: `j-` followed by digits.
 pub(super) fn is_valid_id(id: &str) -> bool {
     id.strip_prefix(JOB_ID_PREFIX).is_some_and(|digits| {
         (1..=MAX_ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
     })
 }
 
-/// Reads the body of a submission.
+/// Parses the body of a submission and checks that it is well-formed.
 pub(super) fn parse(body: &str) -> Result<JobSpec, MalformedSubmission> {
     let spec: JobSpec = serde_json::from_str(body).map_err(|error| MalformedSubmission {
         job_id: find_id(body),
@@ -43,7 +43,7 @@
     }
 }
 
-/// The valid id in a body that is no job.
+/// Returns the job id of a body that can't be parsed as a job, if it has a valid one.
 fn find_id(body: &str) -> Option<String> {
     let value: serde_json::Value = serde_json::from_str(body).ok()?;
     let id = value.get("id")?.as_str()?;
@@ -76,7 +76,8 @@
     Ok(())
 }
 
-/// Whether a well-formed job can ever run.
+/// Checks whether a well-formed job can ever run: its team exists and may use enough
+/// resources for one task, and a task fits some allowed machine type.
 pub(super) fn check_feasible(spec: &JobSpec, teams: &[Team], catalogue: &Catalogue) -> Result<(), Refusal> {
     let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
         return Err(Refusal::UnknownTeam);
@@ -90,12 +91,13 @@
     Ok(())
 }
 
-/// Whether the need is more than the limit. A limit of 0 is none.
+/// Returns whether the need exceeds the limit. A limit of 0 means that there is no limit.
 fn exceeds(limit: f64, need: f64) -> bool {
-    limit > 0.0 && need > limit + ROUNDING
+    limit > 0.0 && need > limit + ROUNDING_TOLERANCE
 }
 
-/// Whether the job allows this machine type, and a task fits an empty machine of it.
+/// Returns whether the job allows this machine type, the type is offered in the zone that the
+/// job requires, if any, and a task fits an empty machine of this type.
 fn fits(spec: &JobSpec, machine_type: &MachineType) -> bool {
     spec.types
         .as_ref()
--- a/src/admission/validation/tests.rs
+++ b/src/admission/validation/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_told_from_what_is_not() {
+fn malformed_submissions_are_refused_and_report_a_valid_id() {
     assert!(status(&sample()).is_ok());
     for (field, bad) in [
         ("lots", json!(0)),
@@ -49,7 +49,7 @@
 
 proptest! {
     #[test]
-    fn no_body_makes_the_reader_fail(body in ".{0,300}") {
+    fn parsing_an_arbitrary_body_never_panics(body in ".{0,300}") {
         if let Ok(spec) = parse(&body) {
             prop_assert!(is_valid_id(&spec.id));
         }
--- a/src/admission/writes.rs
+++ b/src/admission/writes.rs
@@ -1,7 +1,7 @@
 //! The create-once writes that accept and cancel jobs.
 //!
-//! Each depends on the job having no end yet, and on the version of its key that was
-//! seen, so that it is carried out at most once, however often it is sent.
+//! Each write is conditional on the job having no end yet and on the observed version of the
+//! job's key, so it is applied at most once, however often it is sent.
 
 use super::answers::{self, Unavailable};
 use super::cancellations::CANCELLED;
@@ -12,16 +12,17 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// A write of a job key.
+/// A conditional transaction that writes a job key.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct JobWrite {
     pub(super) transaction: Arc<Transaction>,
-    /// The value that it gives the job key.
+    /// The value written to the job key.
     job: JobKey,
 }
 
 impl JobWrite {
-    /// Creates or replaces the job key, which now has this version, after other changes.
+    /// Returns the write that applies `changes` and then creates or replaces the job key, whose
+    /// current version is `job_version`.
     pub(super) fn new(
         context: &AdmissionContext<'_>,
         job: JobKey,
@@ -39,21 +40,21 @@
                 version: 0,
             },
         ];
-        // A leader's writes are void once another has claimed the shard.
+        // A leader's writes must fail once another controller has claimed the shard.
         conditions.extend(context.claim.clone());
         changes.push(Change::put(job_key, json!(job)));
         let transaction = Arc::new(Transaction { conditions, changes });
         JobWrite { transaction, job }
     }
 
-    /// How the job ended by this write, if it did.
+    /// Returns how the job ends by this write, or `None` if the write accepts the job.
     fn end(&self) -> Option<EndValue> {
         self.job.ended.map(|_| CANCELLED)
     }
 }
 
 impl Admission {
-    /// The reply to a create-once write.
+    /// Handles the reply to a create-once write.
     pub fn on_write_reply(
         &mut self,
         context: &AdmissionContext<'_>,
@@ -69,27 +70,28 @@
         match reply {
             StoreReply::Committed { revision } => {
                 let mut effects = vec![AdmissionEffect::RecordJob {
-                    id: request.question.job_id.clone(),
+                    id: request.job_request.job_id.clone(),
                     job: write.job.clone(),
                     revision: *revision,
                 }];
                 effects.extend(match write.end() {
-                    Some(end) => self.confirm_at_peers(context, request_id, end),
+                    Some(end) => self.request_peer_confirmations(context, request_id, end),
                     None => {
-                        let answer = answers::accepted(&request.question.job_id);
+                        let answer = answers::accepted(&request.job_request.job_id);
                         self.finish(context, request_id, answer)
                     }
                 });
                 effects
             }
             StoreReply::Conflict { .. } => {
-                // Known already, ended meanwhile, or our claim is gone: look again.
+                // The job is already known, has ended in the meantime, or this controller
+                // has lost its claim: read again.
                 self.await_confirming_read(request_id);
                 Vec::new()
             }
-            // It may have been applied. The same write again either does it
-            // or conflicts with it, and both tell.
-            StoreReply::Unanswered if request.may_write_again(context.now) => vec![AdmissionEffect::Write {
+            // The write may have been applied. Sending it again shows which: it either commits
+            // or conflicts with the earlier one.
+            StoreReply::Unanswered if request.may_retry_write(context.now) => vec![AdmissionEffect::Write {
                 request_id,
                 transaction: write.transaction.clone(),
             }],
