--- a/src/election/claim.rs
+++ b/src/election/claim.rs
@@ -1,4 +1,4 @@
-//! The claim: the transaction that takes the shard or raises its term.
+//! The claim: the transaction that takes over the shard or raises its term.
 
 use super::{LeaderElection, Phase};
 use crate::Millis;
@@ -7,7 +7,8 @@
 use serde_json::json;
 
 impl LeaderElection {
-    /// The condition that the own claim holds, for the leader's transactions.
+    /// Returns the condition that this controller's claim still holds, which every transaction
+    /// of the leader includes.
     pub fn condition(&self, keys: &Keys) -> Condition {
         Condition {
             key: keys.leader(),
@@ -15,8 +16,9 @@
         }
     }
 
-    /// The claim under the lease requested then, unless somebody else claimed in the
-    /// meantime: that leader acts until its own lease expires.
+    /// Returns the claim under the lease that was requested at `requested_at`. Returns `None` if
+    /// another controller has claimed the shard in the meantime, since it is the leader until
+    /// its own lease expires.
     pub fn claim_with_lease(
         &mut self,
         lease: u64,
@@ -34,13 +36,14 @@
         Some(self.claim(keys, version, watch_cache))
     }
 
-    /// Claims once more over one's own claim: the term rises, and with it every
-    /// command still on its way is withdrawn.
+    /// Returns a new claim that replaces this controller's own claim. The higher term
+    /// invalidates all commands that are still in flight.
     pub fn raise_term(&mut self, keys: &Keys, watch_cache: &WatchCache) -> Transaction {
         self.claim(keys, self.claim_version, watch_cache)
     }
 
-    /// A claim over the leader key of that version.
+    /// Returns the transaction that writes the claim if the leader key still has this version,
+    /// and increments the term.
     fn claim(&mut self, keys: &Keys, leader_version: u64, watch_cache: &WatchCache) -> Transaction {
         let (known_term, term_version) = watch_cache.term();
         self.phase = Phase::Claiming;
@@ -67,7 +70,7 @@
         }
     }
 
-    /// The claim was carried out, and its key has this version.
+    /// Handles the commit of the claim, which gave its key this version.
     pub fn on_claim_committed(&mut self, version: u64) {
         tracing::info!(term = self.term, "claimed the shard");
         self.claim_version = version;
@@ -76,12 +79,13 @@
         self.suspension = None;
     }
 
-    /// Whether an earlier incarnation of this process made this claim.
+    /// Returns whether the claim was made by an earlier incarnation of this controller.
     pub(super) fn is_claim_of_earlier_incarnation(&self, leader: &LeaderValue) -> bool {
         leader.node == self.node && leader.incarnation != self.incarnation
     }
 
-    /// Whether a claim read from the state service is the one last sent.
+    /// Returns whether a claim read from the state service is the one that this controller sent
+    /// last.
     pub fn is_current_claim(&self, leader: &LeaderValue) -> bool {
         leader.node == self.node && leader.incarnation == self.incarnation && leader.term == self.term
     }
--- a/src/election/extension.rs
+++ b/src/election/extension.rs
@@ -1,48 +1,52 @@
-//! Lease extensions, requested as the leader and granted as a follower. The module
-//! [`crate::election`] says what they are.
+//! Lease extensions, requested by the leader and granted by followers. See
+//! [`crate::election`] for their purpose.
 
-use super::{LeaderElection, MARGIN_MS, Phase};
+use super::{LeaderElection, Phase, SAFETY_MARGIN_MS};
 use crate::Millis;
 
-/// For how long a controller that grants a lease extension does not claim.
+/// How long a controller that grants a lease extension does not claim the shard, in
+/// milliseconds.
 pub const EXTENSION_MS: Millis = 2_000;
-/// A leader requests an extension when its last successful renewal is this old.
-pub(super) const REQUEST_AFTER_MS: Millis = 1_500;
-/// Pause between two requests.
-const REQUEST_EVERY_MS: Millis = 300;
+/// A leader requests an extension when its last successful renewal was sent this long ago.
+pub(super) const REQUEST_LEASE_AGE_MS: Millis = 1_500;
+/// The minimum time between two requests.
+const REQUEST_INTERVAL_MS: Millis = 300;
 
-/// The leader's requests for an extension.
+/// The leader's requests for lease extensions.
 #[derive(Debug, Default)]
 pub(super) struct ExtensionRequests {
+    /// When the last request was sent.
     last_at: Millis,
 }
 
 impl LeaderElection {
-    /// Whether to request a lease extension now, which then counts as requested.
+    /// Returns whether to request a lease extension now, and if so marks it as requested.
     pub fn take_extension_request_due(&mut self, now: Millis) -> bool {
         let due = self.is_acting_leader(now)
-            && self.validity.is_lease_older_than(now, REQUEST_AFTER_MS)
-            && now >= self.extension_requests.last_at + REQUEST_EVERY_MS;
+            && self.validity.is_lease_older_than(now, REQUEST_LEASE_AGE_MS)
+            && now >= self.extension_requests.last_at + REQUEST_INTERVAL_MS;
         if due {
             self.extension_requests.last_at = now;
         }
         due
     }
 
-    /// Every other controller granted the extension requested then. Counts only
-    /// without a break: who has expired may have missed another's whole term.
+    /// Handles the grant, by every other controller, of the extension requested at
+    /// `requested_at`. It is ignored if the leadership has already expired, since another
+    /// controller may have claimed and lost the shard in the meantime.
     pub fn on_lease_extended(&mut self, now: Millis, requested_at: Millis) {
         if self.is_acting_leader(now) {
             self.validity.extend_until(requested_at + EXTENSION_MS);
         }
     }
 
-    /// Grants a leader's request, unless a claim of our own is under way. True if so.
+    /// Grants a leader's request unless this controller is claiming or holds the shard. Returns
+    /// whether the request is granted.
     pub fn grant_extension(&mut self, now: Millis) -> bool {
-        let is_free = self.phase == Phase::Follower;
-        if is_free {
-            self.claim_wait.delay_until(now + EXTENSION_MS + MARGIN_MS);
+        let is_follower = self.phase == Phase::Follower;
+        if is_follower {
+            self.claim_wait.delay_until(now + EXTENSION_MS + SAFETY_MARGIN_MS);
         }
-        is_free
+        is_follower
     }
 }
--- a/src/election/mod.rs
+++ b/src/election/mod.rs
@@ -1,19 +1,20 @@
-//! Leader election: the claim on the shard, its lease, and the rising term.
+//! Leader election: the claim on the shard, its lease, and the term.
 //!
 //! One key holds the claim and is attached to a lease of the state service. The
-//! transaction that claims the shard also raises the term, which is the fencing token
-//! that workers check. A claim over one's own claim raises the term again.
+//! transaction that claims the shard also increments the term, which is the fencing token
+//! that workers check. A leader that claims the shard again increments the term again.
 //!
-//! The lease is taken to be valid from when its last successful renewal was *sent*, so
-//! it may be found expired early, never late; so is the age of the watch cache (see
-//! [`validity`]).
+//! The lease is considered valid from the time at which its last successful renewal was
+//! *sent*, so it may be considered expired too early but never too late. The age of the
+//! watch cache is measured in the same way (see [`validity`]).
 //!
-//! A *lease extension* lets a leader act on without its lease, in an outage of the
-//! state service that all controllers share. Nobody can claim or confirm anything
-//! then, and workers would drop all their tasks for nothing. So the leader asks every
-//! other controller to promise not to claim for [`EXTENSION_MS`], and to name the
-//! cancellations it knows of. The lease is extended, from when this was requested, if
-//! *all* of them have granted it; a single one missing ends it.
+//! A *lease extension* lets a leader continue to act without its lease during an outage of
+//! the state service that affects all controllers. No controller can claim the shard or
+//! confirm anything during such an outage, and without the extension workers would stop all
+//! their tasks needlessly. The leader therefore asks every other controller not to claim
+//! the shard for [`EXTENSION_MS`] and to report the cancellations that it knows of. The
+//! extension counts from the time of the request, and only if *all* other controllers have
+//! granted it; a single missing grant ends the leadership.
 
 mod claim;
 mod extension;
@@ -28,22 +29,23 @@
 use phase::ClaimWait;
 use validity::Validity;
 
-/// The time to live of the lease.
+/// The time to live of the leader's lease, in milliseconds.
 pub const LEASE_MS: Millis = 4_000;
-/// Clock drift over one lease, and the time between looking and acting.
-const MARGIN_MS: Millis = 300;
+/// A margin for clock drift during one lease and for the time between checking the lease and
+/// acting on the result.
+const SAFETY_MARGIN_MS: Millis = 300;
 
-/// One controller's part in the election of the shard's leader.
+/// The state of one controller in the election of the shard's leader.
 #[derive(Debug)]
 pub struct LeaderElection {
     node: String,
     incarnation: u64,
     phase: Phase,
     term: u64,
-    /// Version of the claim key; every transaction of the leader depends on it.
+    /// Version of the claim key. Every transaction of the leader is conditional on it.
     claim_version: u64,
     lease: Option<u64>,
-    /// When the lease in hand or on its way was requested.
+    /// When the current lease, or the one being requested, was requested.
     lease_requested_at: Option<Millis>,
     renew_not_before: Millis,
     validity: Validity,
@@ -52,17 +54,19 @@
     claim_wait: ClaimWait,
 }
 
-/// The validity of the leadership expired. To act again takes a renewal, and then a
-/// read of the watch cache that still shows our claim.
+/// The state of a leader whose leadership is no longer known to be valid. It may act again
+/// after a successful renewal followed by a read of the watch cache that still shows its
+/// claim.
 #[derive(Clone, Copy, Debug)]
 struct Suspension {
-    /// When the first renewal after the expiry was answered.
+    /// When the first successful renewal after the expiry was answered.
     renewed_at: Option<Millis>,
 }
 
 impl LeaderElection {
-    /// A follower. `incarnation` tells this process from earlier ones of the same
-    /// controller.
+    /// Returns the state of a follower. `incarnation` distinguishes this process from earlier
+    /// processes of the same controller. `max_watch_cache_age_ms` is the maximum age of the
+    /// watch cache while the controller acts as the leader.
     pub fn new(node: &str, incarnation: u64, max_watch_cache_age_ms: Millis) -> LeaderElection {
         LeaderElection {
             node: node.into(),
@@ -80,47 +84,49 @@
         }
     }
 
-    /// Where this controller stands in the election.
+    /// Returns the phase of this controller.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The term of the own claim, or of the last one.
+    /// Returns the term of this controller's current or last claim, 0 if it never claimed.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// The version of the own claim's key.
+    /// Returns the version of the claim key as this controller last wrote it.
     pub fn claim_version(&self) -> u64 {
         self.claim_version
     }
 
-    /// When the grant in flight was requested.
+    /// Returns when the current lease, or the one being requested, was requested, 0 if there
+    /// is none.
     pub fn lease_requested_at(&self) -> Millis {
         self.lease_requested_at.unwrap_or(0)
     }
 
-    /// Whether this controller claimed the shard, and has not given it up.
+    /// Returns whether this controller has claimed the shard and has not stepped down.
     pub fn holds_claim(&self) -> bool {
         matches!(self.phase, Phase::Loading | Phase::Active)
     }
 
-    /// Whether this controller surely leads the shard, and may act for it.
+    /// Returns whether this controller is certain to lead the shard and may act as its leader.
     pub fn is_acting_leader(&self, now: Millis) -> bool {
         self.phase == Phase::Active && self.suspension.is_none() && self.validity.covers(now)
     }
 
-    /// Whether the validity of the leadership expired and was not yet confirmed again.
+    /// Returns whether the leadership has expired and has not been confirmed again yet.
     pub fn is_suspended(&self) -> bool {
         self.suspension.is_some()
     }
 
-    /// Begins to act as the leader: everything has been loaded, or still holds.
+    /// Starts acting as the leader, after all state has been loaded or is known to be current.
     pub fn activate(&mut self) {
         self.phase = Phase::Active;
     }
 
-    /// Gives up claim and lease, and claims no sooner than after this delay.
+    /// Becomes a follower without a lease that does not claim the shard again before this delay
+    /// has passed.
     pub fn step_down(&mut self, now: Millis, claim_delay_ms: Millis) {
         if self.phase != Phase::Follower {
             tracing::info!(term = self.term, claim_delay_ms, "stepped down");
--- a/src/election/phase.rs
+++ b/src/election/phase.rs
@@ -1,75 +1,78 @@
-//! The phases of an election, and what each wants sent to the state service.
+//! The phases of an election and the lease requests that each phase sends to the state service.
 
 use super::extension::EXTENSION_MS;
-use super::{LeaderElection, MARGIN_MS, Suspension};
+use super::{LeaderElection, SAFETY_MARGIN_MS, Suspension};
 use crate::Millis;
 use crate::store::WatchCache;
 
-const RENEW_EVERY_MS: Millis = 1_000;
-/// Pause before a failed renewal is tried again.
-const RETRY_MS: Millis = 300;
-/// A controller that hears no other waits this much longer before it claims,
-/// so that one that can talk to the others goes first.
+/// How often the leader renews its lease.
+const RENEW_INTERVAL_MS: Millis = 1_000;
+/// How long after a failed renewal the next one is due.
+const RENEW_RETRY_MS: Millis = 300;
+/// How much longer a controller that can't reach any other controller waits before it claims
+/// the shard, so that a connected controller can claim it first.
 pub(super) const ISOLATED_CLAIM_DELAY_MS: Millis = 1_500;
 
-/// Where a controller stands in the election.
+/// The phase of a controller in the election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Another controller leads the shard, or none.
+    /// Another controller or none leads the shard.
     Follower,
-    /// A lease was requested; the claim follows.
+    /// A lease has been requested; the claim will be sent once it is granted.
     RequestingLease,
-    /// The claim was sent.
+    /// The claim has been sent and not answered yet.
     Claiming,
-    /// The claim holds; jobs, firings and machines are being read.
+    /// The claim holds; machines, jobs and task chunks are being loaded.
     Loading,
-    /// The claim holds and everything has been read.
+    /// The claim holds and all state has been loaded.
     Active,
 }
 
-/// What leader election wants sent.
+/// A lease request to send to the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseRequest {
-    /// Grant a lease.
+    /// Request a new lease.
     Grant,
-    /// Renew this lease.
+    /// Renew the lease with this id.
     Renew(u64),
 }
 
-/// Whether a controller hears others.
+/// Whether a controller can reach other controllers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connectivity {
-    /// Another controller is in reach, or there are no others.
+    /// At least one other controller is reachable, or there are no others.
     Connected,
-    /// No other controller is in reach.
+    /// No other controller is reachable.
     Isolated,
 }
 
-/// What a follower waits for before it claims.
+/// The conditions that a follower waits for before it claims the shard.
 #[derive(Debug, Default)]
 pub(super) struct ClaimWait {
-    /// When this incarnation began: an earlier one may have granted a lease extension.
+    /// When this incarnation was first polled. An earlier incarnation may have granted a lease
+    /// extension just before.
     started_at: Option<Millis>,
-    /// Since when nobody has held the claim.
+    /// Since when the shard has been vacant, as far as this controller knows.
     vacant_since: Option<Millis>,
+    /// The earliest time of a claim.
     not_before: Millis,
 }
 
 impl ClaimWait {
-    /// Waits anew for a vacancy, and at least until then.
+    /// Restarts the wait for a vacancy, and delays the next claim at least until `not_before`.
     pub(super) fn restart(&mut self, not_before: Millis) {
         self.vacant_since = None;
         self.delay_until(not_before);
     }
 
-    /// Claims no sooner than that.
+    /// Delays the next claim at least until `not_before`.
     pub(super) fn delay_until(&mut self, not_before: Millis) {
         self.not_before = self.not_before.max(not_before);
     }
 }
 
 impl LeaderElection {
-    /// What to send now.
+    /// Returns the lease request to send now, if any, and suspends an expired leadership.
     pub fn poll(&mut self, now: Millis, watch_cache: &WatchCache, connectivity: Connectivity) -> Option<LeaseRequest> {
         self.suspend_if_expired(now);
         match self.phase {
@@ -79,6 +82,7 @@
         }
     }
 
+    /// Suspends the leadership if its validity has expired.
     fn suspend_if_expired(&mut self, now: Millis) {
         if !self.holds_claim() || self.is_suspended() || self.validity.covers(now) {
             return;
@@ -91,6 +95,7 @@
         self.suspension = Some(Suspension { renewed_at: None });
     }
 
+    /// Requests a lease once the shard has been vacant for long enough.
     fn poll_follower(
         &mut self,
         now: Millis,
@@ -118,27 +123,29 @@
         Some(LeaseRequest::Grant)
     }
 
-    /// Whether the shard may be claimed, as far as the watch cache tells.
+    /// Returns whether the watch cache shows that the shard may be claimed.
     fn is_vacant(&self, now: Millis, started_at: Millis, watch_cache: &WatchCache) -> bool {
         match &watch_cache.leader() {
-            // Where there never was a leader, nobody granted it a lease extension.
-            None => watch_cache.term().0 == 0 || now >= started_at + EXTENSION_MS + MARGIN_MS,
-            // A claim by an earlier incarnation of this process is as good as none.
+            // If there has never been a leader, no lease extension can have been granted.
+            None => watch_cache.term().0 == 0 || now >= started_at + EXTENSION_MS + SAFETY_MARGIN_MS,
+            // A claim by an earlier incarnation of this controller counts as vacant.
             Some((leader, _)) => self.is_claim_of_earlier_incarnation(leader),
         }
     }
 
+    /// Renews the lease if it is due.
     fn poll_renewal(&mut self, now: Millis) -> Option<LeaseRequest> {
-        // One that can't read stands in the way of one that can.
+        // A leader that can't read the watched keys must not keep its lease, so that a
+        // controller that can read them takes over.
         if now < self.renew_not_before || !self.validity.may_renew(now) {
             return None;
         }
-        self.renew_not_before = now + RENEW_EVERY_MS;
+        self.renew_not_before = now + RENEW_INTERVAL_MS;
         self.lease.map(LeaseRequest::Renew)
     }
 
-    /// The renewal in flight failed: the next is due soon.
+    /// Handles a failed renewal: the next one is due after `RENEW_RETRY_MS` at the latest.
     pub fn renewal_failed(&mut self, now: Millis) {
-        self.renew_not_before = self.renew_not_before.min(now + RETRY_MS);
+        self.renew_not_before = self.renew_not_before.min(now + RENEW_RETRY_MS);
     }
 }
--- a/src/election/validity.rs
+++ b/src/election/validity.rs
@@ -1,19 +1,20 @@
-//! For how long a leader may act: until its lease or its watch cache expires, or the
-//! lease extension ends.
+//! How long a leader may act: until its lease or its watch cache expires, or, if that is
+//! later, until the lease extension ends.
 //!
-//! A leader that renews but no longer hears what users cancel through others would keep
-//! their workers' leases alive, so with an old watch cache it neither acts nor renews.
+//! A leader that renews its lease but no longer learns of cancellations made through other
+//! controllers would keep the leases of the affected workers alive. Therefore a leader with
+//! a stale watch cache neither acts nor renews.
 
-use super::{LEASE_MS, LeaderElection, MARGIN_MS};
+use super::{LEASE_MS, LeaderElection, SAFETY_MARGIN_MS};
 use crate::Millis;
 
-/// The times until which each condition of the leadership is met.
+/// The expiry times that determine whether the leadership is valid.
 #[derive(Debug)]
 pub(super) struct Validity {
     lease_until: Millis,
     watch_cache_until: Millis,
     extended_until: Millis,
-    /// How old the watch cache may be while the leader acts.
+    /// The maximum age of the watch cache while the leader acts.
     max_watch_cache_age_ms: Millis,
 }
 
@@ -27,47 +28,48 @@
         }
     }
 
-    /// Whether the leader may act now.
+    /// Returns whether the leader may act now.
     pub(super) fn covers(&self, now: Millis) -> bool {
         now < self.lease_until.min(self.watch_cache_until).max(self.extended_until)
     }
 
-    /// Whether the lease should be renewed, whether it has expired or not.
+    /// Returns whether the lease should be renewed, even if it has already expired.
     pub(super) fn may_renew(&self, now: Millis) -> bool {
         now < self.watch_cache_until.max(self.extended_until)
     }
 
-    /// A new lease was requested then.
+    /// Sets the expiry of a new lease that was requested at `requested_at`.
     pub(super) fn lease_granted(&mut self, requested_at: Millis) {
-        self.lease_until = requested_at + LEASE_MS - MARGIN_MS;
+        self.lease_until = requested_at + LEASE_MS - SAFETY_MARGIN_MS;
     }
 
-    /// Ends the lease extension at that time, if it doesn't already end later.
+    /// Extends the leadership until this time, unless it is already extended for longer.
     pub(super) fn extend_until(&mut self, until: Millis) {
         self.extended_until = self.extended_until.max(until);
     }
 
-    /// Ends lease and extension. The watch cache is as new as it was.
+    /// Expires the lease and its extension. The watch cache is not affected.
     pub(super) fn clear(&mut self) {
         self.lease_until = 0;
         self.extended_until = 0;
     }
 
-    /// When the last renewal that counts was sent, as far as the lease's end tells.
+    /// Returns whether the request or renewal that determines the lease's expiry was sent at
+    /// least `age_ms` ago.
     pub(super) fn is_lease_older_than(&self, now: Millis, age_ms: Millis) -> bool {
-        now + LEASE_MS >= self.lease_until + MARGIN_MS + age_ms
+        now + LEASE_MS >= self.lease_until + SAFETY_MARGIN_MS + age_ms
     }
 }
 
 impl LeaderElection {
-    /// Whether the lease itself is surely ours, without its extension.
+    /// Returns whether the lease is certain to be still held, regardless of any extension.
     pub fn is_lease_valid(&self, now: Millis) -> bool {
         now < self.validity.lease_until
     }
 
-    /// The renewal sent then succeeded.
+    /// Handles the success of the renewal that was sent at `sent_at`.
     pub fn on_lease_renewed(&mut self, now: Millis, sent_at: Millis) {
-        let until = sent_at + LEASE_MS - MARGIN_MS;
+        let until = sent_at + LEASE_MS - SAFETY_MARGIN_MS;
         self.validity.lease_until = self.validity.lease_until.max(until);
         let lease_valid = self.is_lease_valid(now);
         if let Some(suspension) = &mut self.suspension
@@ -77,21 +79,21 @@
         }
     }
 
-    /// A read sent then brought the watch cache up to date.
+    /// Handles the success of a read, sent at `sent_at`, that brought the watch cache up to date.
     pub fn on_watch_cache_read(&mut self, sent_at: Millis) {
         let until = sent_at + self.validity.max_watch_cache_age_ms;
         self.validity.watch_cache_until = self.validity.watch_cache_until.max(until);
     }
 
-    /// Whether leadership is suspended and the watch cache read that was sent then is
-    /// newer than the renewal: what it shows of the claim decides.
+    /// Returns whether the leadership is suspended and may resume if the watch cache still shows
+    /// this controller's claim: the read sent at `read_sent_at` was sent after the renewal.
     pub fn may_resume(&self, now: Millis, read_sent_at: Millis) -> bool {
         let renewed_at = self.suspension.and_then(|suspension| suspension.renewed_at);
         let is_read_newer = renewed_at.is_some_and(|at| read_sent_at >= at);
         self.holds_claim() && is_read_newer && self.validity.covers(now)
     }
 
-    /// Acts again: the claim was looked at after the expiry and is still ours.
+    /// Ends the suspension, after a read since the expiry has shown that the claim still holds.
     pub fn resume(&mut self) {
         tracing::info!(term = self.term, "resumed leadership: the claim still holds");
         self.suspension = None;
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The client's side of the state service: names and values of the keys, requests and
-//! their replies, the rate budget, and the watch cache that every controller holds.
+//! The client side of the state service: names and values of the keys, requests and
+//! replies, rate limiting, and the watch cache that every controller keeps.
 
 mod keys;
 mod requests;
--- a/src/store/requests.rs
+++ b/src/store/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the state service and what may come of them.
+//! Requests to the state service and their replies.
 
 use crate::wire::{Log, Page, Transaction};
 use serde_json::Value;
@@ -7,39 +7,39 @@
 /// A request to the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreRequest {
-    /// Reads the key of this name.
+    /// Reads the key with this name.
     Get(String),
     /// Reads a page of the keys with a prefix, ordered by name.
     List {
-        /// How the names of the keys begin.
+        /// The prefix of the names of the keys.
         prefix: String,
-        /// Name of the key after which the page begins; empty for the first page.
+        /// The name of the key after which the page begins; empty for the first page.
         after: String,
     },
-    /// Applies a transaction. Shared, since it is kept until it is answered and may be
-    /// sent again.
+    /// Applies a transaction. It is reference-counted because the sender keeps it until it is
+    /// answered and may send it again.
     Transact(Arc<Transaction>),
-    /// Asks for a new lease.
+    /// Requests a new lease.
     Grant {
-        /// How long it lasts without being renewed, in milliseconds.
+        /// How long the lease lasts without being renewed, in milliseconds.
         ttl_ms: u64,
     },
-    /// Renews the lease of this number.
+    /// Renews the lease with this id.
     Renew(u64),
-    /// Asks for all changes of keys with a prefix after a revision, and waits for one if
+    /// Reads all changes of keys with a prefix after a revision, and waits for a change if
     /// there is none yet.
     Watch {
-        /// How the names of the keys begin.
+        /// The prefix of the names of the keys.
         prefix: String,
-        /// The revision.
+        /// The revision after which changes are returned.
         since: u64,
-        /// How long to wait for a change, in milliseconds.
+        /// The maximum time to wait for a change, in milliseconds.
         wait_ms: u64,
     },
 }
 
 impl StoreRequest {
-    /// Puts and deletes that the service counts against the write rate.
+    /// Returns the number of puts and deletes, which count against the service's write rate.
     pub fn writes(&self) -> u32 {
         match self {
             StoreRequest::Transact(transaction) => transaction.changes.len() as u32,
@@ -48,47 +48,50 @@
     }
 }
 
-/// What came of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
     /// A key was read.
     Found {
-        /// Its value.
+        /// The value of the key.
         value: Value,
-        /// Its version: the revision of its last change.
+        /// The version of the key: the revision of its last change.
         version: u64,
     },
-    /// There is no key of that name.
+    /// The key does not exist.
     Missing,
     /// A page of keys was read.
     Page(Page),
     /// The transaction was applied.
     Committed {
-        /// Revision of the store after it, also the version of every key it put.
+        /// The revision of the store after the transaction, which is also the version of every
+        /// key that it put.
         revision: u64,
     },
-    /// The transaction was not applied, since some conditions did not hold.
+    /// The transaction was not applied because some of its conditions did not hold.
     Conflict {
-        /// The keys of those conditions.
+        /// The keys of the conditions that did not hold.
         failed: Vec<String>,
     },
     /// A lease was granted.
     Granted {
-        /// Its number.
+        /// The id of the lease.
         lease: u64,
     },
     /// The lease was renewed.
     Renewed,
-    /// The lease has ended.
+    /// The lease to renew has expired.
     LeaseGone,
-    /// All changes after the revision that a watch asked for.
+    /// All changes after the requested revision, in reply to a watch.
     Log(Log),
-    /// The service no longer keeps the changes that a watch asked for: read the keys again.
+    /// The service no longer keeps all changes after the requested revision, so the watched
+    /// keys must be read again.
     TooOld,
-    /// Not executed: beyond the service's rate.
+    /// The request was not executed because it exceeds the service's rate limit.
     Throttled,
-    /// Not executed: the service, or the way to it, is out of order.
+    /// The request was not executed because the service or the network is unavailable.
     Unavailable,
-    /// No answer: it may or may not have been executed, or may yet be.
+    /// The request was not answered. It may or may not have been executed, or may be executed
+    /// later.
     Unanswered,
 }
--- a/src/store/values.rs
+++ b/src/store/values.rs
@@ -1,47 +1,48 @@
-//! Values of the keys that every controller reads.
+//! Values of the keys of leaders, terms, jobs and their ends.
 
 use crate::wire::{JobSpec, JobState};
 use serde::{Deserialize, Serialize};
 
-/// The claim of a shard's leader.
+/// The value of the leader key: the claim of the shard's leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderValue {
-    /// Name of the controller.
+    /// Name of the controller that made the claim.
     pub node: String,
-    /// Tells one incarnation of a process from the next.
-    // Stored under its old name.
+    /// Distinguishes the processes that a controller has run as.
+    // Stored as `life`, the name that the stored format uses.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The term that the claim began.
+    /// The term that started with the claim.
     pub term: u64,
 }
 
 /// The value of a job key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobKey {
-    /// The job as its user submitted it.
+    /// The job as submitted.
     pub spec: JobSpec,
-    /// When it was accepted, on the wall clock.
+    /// When the job was accepted, in milliseconds on the wall clock.
     pub accepted_ms: u64,
-    /// How it ended, from its end until everything else of it is cleaned up.
+    /// How the job ended. `None` until it ends; the key remains until all other keys of the job
+    /// have been cleaned up.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended: Option<JobState>,
 }
 
-/// The value of the term key: the highest term that was ever claimed.
+/// The value of the term key: the highest term ever claimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermValue {
-    /// The term, which is the fencing token of its leader.
+    /// The term, which is the fencing token of the leader that claimed it.
     pub term: u64,
 }
 
-/// How a job ended.
-// A count of 0 is left out, as it is of cancelled jobs.
+/// The value of an end key: how a job ended.
+// A count of 0 is omitted, as it is for cancelled jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndValue {
-    /// Its final state.
+    /// The final state of the job.
     pub state: JobState,
-    /// Its tasks that were done, if it was not cancelled.
+    /// The number of tasks done, 0 if the job was cancelled.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub done: u32,
 }
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -5,16 +5,16 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// A change of the watch cache that others may have to act on.
+/// A change of the watch cache that the controller may have to react to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchedChange {
-    /// The leader's claim appeared, changed or went.
+    /// The leader's claim was created, changed or removed.
     Leader,
-    /// The catalogue of machine types appeared or changed.
+    /// The catalogue of machine types was created or changed.
     Catalogue,
-    /// The job of this id appeared or changed.
+    /// The key of the job with this id was created or changed.
     Job(String),
-    /// The key of the job of this id was removed.
+    /// The key of the job with this id was removed.
     JobGone(String),
 }
 
@@ -22,29 +22,31 @@
 #[derive(Debug, Default)]
 pub struct WatchCache {
     revision: u64,
+    /// Whether a full read has succeeded and no changes have been missed since.
     complete: bool,
-    /// With the version of its key.
+    /// The leader's claim and the version of its key.
     leader: Option<(LeaderValue, u64)>,
-    /// With the version of its key.
+    /// The highest term and the version of its key.
     term: (u64, u64),
     catalogue: Option<Value>,
-    /// Each with the version of its key.
+    /// The jobs by id, each with the version of its key.
     jobs: BTreeMap<String, (JobKey, u64)>,
-    /// Tasks of all these jobs.
+    /// The total number of tasks of these jobs.
     tasks: u64,
+    /// The full read in progress, if any.
     full_read: Option<FullRead>,
 }
 
-/// A full read of the watched keys that is under way.
+/// A full read of the watched keys that is in progress.
 #[derive(Debug)]
 struct FullRead {
-    /// Revision of the first page.
+    /// The revision of the first page.
     revision: u64,
-    /// The keys read so far, as if they had just been put.
+    /// The keys read so far, represented as puts.
     events: Vec<Event>,
 }
 
-/// A change of a key, told apart by what happened.
+/// A change of a key: a put or a removal.
 enum KeyChange {
     Put { key: String, value: Value },
     Removed { key: String },
@@ -64,32 +66,34 @@
 }
 
 impl WatchCache {
-    /// Revision of the store up to which all changes are taken in.
+    /// Returns the store revision up to which all changes have been applied.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// False until the first full read, and again when a watch fell too far behind.
+    /// Returns whether the cache holds all watched keys. False until the first full read, and
+    /// again after [`WatchCache::invalidate`].
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// The leader's claim, with the version of its key.
+    /// Returns the leader's claim, if there is one, and the version of its key.
     pub fn leader(&self) -> Option<&(LeaderValue, u64)> {
         self.leader.as_ref()
     }
 
-    /// The highest term, with the version of its key.
+    /// Returns the highest term and the version of its key, or zeros if the key does not exist.
     pub fn term(&self) -> (u64, u64) {
         self.term
     }
 
-    /// The catalogue of machine types, as it is stored.
+    /// Returns the stored catalogue of machine types, not yet parsed.
     pub fn catalogue(&self) -> Option<&Value> {
         self.catalogue.as_ref()
     }
 
-    /// Takes in one page of a full read; gives the changes once it is the last.
+    /// Adds one page of a full read. Applies the read and returns the changes if it is the last
+    /// page, and returns `None` otherwise.
     pub fn apply_page(&mut self, keys: &Keys, page: Page) -> Option<Vec<WatchedChange>> {
         let full_read = self.full_read.get_or_insert_with(|| FullRead {
             revision: page.revision,
@@ -108,7 +112,7 @@
         Some(self.replace_all(keys, full_read))
     }
 
-    /// Replaces the jobs and the claim by those of a full read.
+    /// Replaces the cached keys with the result of a full read.
     fn replace_all(&mut self, keys: &Keys, full_read: FullRead) -> Vec<WatchedChange> {
         let mut changes: Vec<WatchedChange> = Vec::new();
         if self.leader.take().is_some() {
@@ -121,25 +125,25 @@
         }
         let gone = before.into_keys().filter(|id| !self.jobs.contains_key(id));
         changes.extend(gone.map(WatchedChange::JobGone));
-        // Later pages may be newer than the first; the log from the first
-        // page's revision on puts that right.
+        // Later pages may be newer than the first one. Applying the log from the revision of
+        // the first page makes the cache consistent.
         self.revision = full_read.revision;
         self.complete = true;
         changes
     }
 
-    /// Unfinished jobs, and ended ones that are not cleaned up yet, each with the
-    /// version of its key.
+    /// Returns the unfinished jobs and the ended jobs that are not cleaned up yet by id, each
+    /// with the version of its key.
     pub fn jobs(&self) -> &BTreeMap<String, (JobKey, u64)> {
         &self.jobs
     }
 
-    /// Tasks of all of [`WatchCache::jobs`].
+    /// Returns the total number of tasks of all [`WatchCache::jobs`].
     pub fn tasks(&self) -> u64 {
         self.tasks
     }
 
-    /// Records a job's key, as it is from this version on.
+    /// Sets the value of a job's key and its version.
     pub fn record_job(&mut self, id: &str, key: JobKey, version: u64) {
         self.remove_job(id);
         self.tasks += u64::from(key.spec.tasks);
@@ -152,18 +156,20 @@
         }
     }
 
-    /// Asks for a full read: changes have been missed, or a full read failed.
+    /// Marks the cache as incomplete, so that a full read is started, because changes have been
+    /// missed or a full read has failed.
     pub fn invalidate(&mut self) {
         self.complete = false;
         self.full_read = None;
     }
 
-    /// Applies a log that begins at or before our revision.
+    /// Applies a log of changes that begins at or before the revision of the cache and ends at
+    /// `revision`.
     pub fn apply_log(&mut self, keys: &Keys, revision: u64, events: Vec<Event>) -> Vec<WatchedChange> {
         let known = self.revision;
         let mut changes = Vec::new();
         for event in events {
-            // Two requests may overlap; what was applied must not be undone.
+            // The logs of two requests may overlap. Older changes must not overwrite newer ones.
             if event.version > known {
                 changes.extend(self.apply(keys, event));
             }
@@ -207,13 +213,14 @@
                 Some(WatchedChange::Job(id.into()))
             }
             Err(error) => {
-                tracing::error!(job = id, %error, "a job key can't be read");
+                tracing::error!(job = id, %error, "cannot parse the value of a job key");
                 None
             }
         }
     }
 
-    /// The term and the catalogue are never removed, and stay known if they should be.
+    /// Applies the removal of a key. The term and the catalogue are never removed by
+    /// controllers, and the cache keeps them even if their keys are removed.
     fn apply_removal(&mut self, keys: &Keys, key: &str) -> Option<WatchedChange> {
         if let Some(id) = key.strip_prefix(&keys.jobs()) {
             self.remove_job(id);
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -36,10 +36,10 @@
     }
 }
 
-/// The revision is that of the first page: what changed while later pages were read is
-/// in the log after it.
+/// Guards against missing changes made while later pages are read: the revision after a full
+/// read must be that of the first page, so that the log after it contains these changes.
 #[test]
-fn a_full_read_counts_from_its_first_page_and_tells_what_is_gone() {
+fn a_full_read_has_the_revision_of_its_first_page_and_reports_removed_jobs() {
     let (keys, mut cache) = (keys(), WatchCache::default());
     cache.record_job("j-9", serde_json::from_value(job_value("j-9", 5)).expect("a job"), 1);
     let first = page(10, true, vec![(keys.job("j-1"), job_value("j-1", 2), 4)]);
@@ -63,21 +63,21 @@
 }
 
 #[test]
-fn what_was_applied_is_not_undone_by_an_older_change() {
+fn an_older_change_does_not_overwrite_a_newer_one() {
     let (keys, mut cache) = (keys(), WatchCache::default());
     let jobs = [
         put(keys.job("j-1"), job_value("j-1", 2), 4),
         removal(keys.job("j-1"), 6),
     ];
     let changes = cache.apply_log(&keys, 6, jobs.to_vec());
-    let appeared_and_gone = [WatchedChange::Job("j-1".into()), WatchedChange::JobGone("j-1".into())];
-    assert_eq!(changes, appeared_and_gone);
+    let created_and_removed = [WatchedChange::Job("j-1".into()), WatchedChange::JobGone("j-1".into())];
+    assert_eq!(changes, created_and_removed);
     assert_eq!(cache.apply_log(&keys, 5, jobs.to_vec()), []);
     assert_eq!((cache.revision(), cache.tasks(), cache.jobs().len()), (6, 0, 0));
 }
 
 #[test]
-fn a_claim_goes_with_its_key_and_an_unreadable_job_is_left_out() {
+fn a_claim_is_removed_with_its_key_and_an_unparsable_job_is_ignored() {
     let (keys, mut cache) = (keys(), WatchCache::default());
     let claim = json!({"node": "a", "life": 1, "term": 3});
     let events = vec![
