--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -1,47 +1,51 @@
-//! What is known of the other controllers: when each was last heard, whether it leads
-//! the shard, whether it can use the state service, and which lease extension it last granted.
+//! The known state of the other controllers: when each last sent a heartbeat, whether it
+//! leads the shard, whether it can use the state service, and which lease extension it
+//! granted last.
 
 use super::JobTaskCounts;
 use crate::Millis;
 use crate::pipeline::TaskCounts;
 use std::collections::BTreeMap;
 
-/// How often controllers send heartbeats.
+/// How often controllers send heartbeats, in milliseconds.
 pub const HEARTBEAT_INTERVAL_MS: Millis = 500;
-/// A controller is in reach for this long after its last heartbeat.
-const IN_REACH_MS: Millis = 2_000;
+/// How long a controller counts as reachable after its last heartbeat.
+const HEARTBEAT_TIMEOUT_MS: Millis = 2_000;
 
-/// What a heartbeat says of its sender.
+/// The state of a controller that its heartbeats report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeartbeatState {
-    /// The term under which it leads the shard, if it does.
+    /// The term under which the sender leads the shard, or `None` if it does not lead it.
     pub leading_term: Option<u64>,
-    /// Whether it can use the state service.
+    /// Whether the sender can use the state service.
     pub store_reachable: bool,
 }
 
+/// The known state of one other controller.
 #[derive(Clone, Debug, Default)]
 struct PeerLink {
-    heard_at: Option<Millis>,
+    /// When the last heartbeat was received, or `None` before the first one.
+    last_heartbeat_at: Option<Millis>,
     state: HeartbeatState,
-    /// When the leader asked, by its own clock, for the newest extension granted.
+    /// When the leader requested the newest extension that this controller granted, on the
+    /// leader's monotonic clock.
     granted_extension_requested_at: Millis,
 }
 
 impl PeerLink {
-    fn is_peer_reachable(&self, now: Millis) -> bool {
-        self.heard_at.is_some_and(|at| now < at + IN_REACH_MS)
+    fn is_reachable(&self, now: Millis) -> bool {
+        self.last_heartbeat_at.is_some_and(|at| now < at + HEARTBEAT_TIMEOUT_MS)
     }
 }
 
-/// The links to all other controllers.
+/// The known states of all other controllers.
 #[derive(Debug, Default)]
 pub struct PeerLinks {
     links: BTreeMap<String, PeerLink>,
     heartbeat_sent_at: Millis,
-    /// Of the controllers in reach, which to choose next.
-    next_choice: usize,
-    /// What the leader last told, by job: tasks done and running.
+    /// Counter for the round-robin choice among the reachable controllers.
+    round_robin_counter: usize,
+    /// Task counts by job id, as last reported by the leader.
     task_counts: BTreeMap<String, TaskCounts>,
 }
 
@@ -56,7 +60,7 @@
 }
 
 impl PeerLinks {
-    /// Links to these controllers, none of them heard yet.
+    /// Returns the state before any heartbeat of these controllers has been received.
     pub fn new(nodes: impl IntoIterator<Item = String>) -> PeerLinks {
         PeerLinks {
             links: nodes.into_iter().map(|node| (node, PeerLink::default())).collect(),
@@ -64,12 +68,12 @@
         }
     }
 
-    /// The names of all other controllers.
+    /// Returns the names of all other controllers.
     pub fn names(&self) -> Vec<String> {
         self.links.keys().cloned().collect()
     }
 
-    /// Whether to send a heartbeat now, which then counts as sent.
+    /// Returns whether to send a heartbeat now, and if so marks it as sent.
     pub fn take_heartbeat_due(&mut self, now: Millis) -> bool {
         let due = now >= self.heartbeat_sent_at + HEARTBEAT_INTERVAL_MS;
         if due {
@@ -78,94 +82,101 @@
         due
     }
 
-    /// Notes a heartbeat of another controller.
+    /// Records a heartbeat of another controller. Heartbeats of unknown senders are ignored.
     pub fn on_heartbeat(&mut self, now: Millis, node: &str, state: HeartbeatState) {
         if let Some(link) = self.links.get_mut(node) {
-            link.heard_at = Some(now);
+            link.last_heartbeat_at = Some(now);
             link.state = state;
         }
     }
 
-    /// Whether this controller is in reach.
+    /// Returns whether the controller with this name is reachable.
     pub fn is_peer_reachable(&self, now: Millis, node: &str) -> bool {
-        self.links.get(node).is_some_and(|link| link.is_peer_reachable(now))
+        self.links.get(node).is_some_and(|link| link.is_reachable(now))
     }
 
-    /// Whether any other controller is in reach.
+    /// Returns whether any other controller is reachable.
     pub fn any_peer_reachable(&self, now: Millis) -> bool {
-        self.links.values().any(|link| link.is_peer_reachable(now))
+        self.links.values().any(|link| link.is_reachable(now))
     }
 
-    /// Whether at least half of the other controllers are in reach.
+    /// Returns whether this controller and the reachable ones are a majority of all controllers:
+    /// at least half of the other controllers are reachable.
     pub fn has_reachable_majority(&self, now: Millis) -> bool {
         self.reachable_peer_count(now) * 2 >= self.links.len()
     }
 
-    /// Whether there are no other controllers at all.
+    /// Returns whether this controller is the only one.
     pub fn has_no_peers(&self) -> bool {
         self.links.is_empty()
     }
 
-    /// When the last heartbeat of any other controller came.
+    /// Returns when the last heartbeat of any other controller was received, 0 if none was.
     pub fn last_heard_at(&self) -> Millis {
-        self.links.values().filter_map(|link| link.heard_at).max().unwrap_or(0)
+        self.links
+            .values()
+            .filter_map(|link| link.last_heartbeat_at)
+            .max()
+            .unwrap_or(0)
     }
 
-    /// The controller in reach that says it leads the shard, under the highest term.
+    /// Returns the reachable controller that reports leading the shard under the highest term.
     pub fn leader(&self, now: Millis) -> Option<&str> {
         self.links
             .iter()
-            .filter(|(_, link)| link.is_peer_reachable(now) && link.state.leading_term.is_some())
+            .filter(|(_, link)| link.is_reachable(now) && link.state.leading_term.is_some())
             .max_by_key(|(_, link)| link.state.leading_term)
             .map(|(node, _)| node.as_str())
     }
 
-    /// How many controllers are in reach.
+    /// Returns the number of other controllers that are reachable.
     pub fn reachable_peer_count(&self, now: Millis) -> usize {
-        self.links.values().filter(|link| link.is_peer_reachable(now)).count()
+        self.links.values().filter(|link| link.is_reachable(now)).count()
     }
 
-    /// The controllers in reach, one after the other.
+    /// Returns the reachable controllers in turn, one per call.
     pub fn next_reachable_peer(&mut self, now: Millis) -> Option<String> {
-        self.next_choice = self.next_choice.wrapping_add(1);
-        let index = self.next_choice % self.reachable_peer_count(now).max(1);
-        let mut in_reach = self.links.iter().filter(|(_, link)| link.is_peer_reachable(now));
+        self.round_robin_counter = self.round_robin_counter.wrapping_add(1);
+        let index = self.round_robin_counter % self.reachable_peer_count(now).max(1);
+        let mut in_reach = self.links.iter().filter(|(_, link)| link.is_reachable(now));
         in_reach.nth(index).map(|(node, _)| node.clone())
     }
 
-    /// A controller in reach that can use the state service.
+    /// Returns the first reachable controller, by name, that can use the state service.
     pub fn first_with_store_access(&self, now: Millis) -> Option<&str> {
         self.links
             .iter()
-            .find(|(_, link)| link.is_peer_reachable(now) && link.state.store_reachable)
+            .find(|(_, link)| link.is_reachable(now) && link.state.store_reachable)
             .map(|(node, _)| node.as_str())
     }
 
-    /// Notes that a controller granted the lease extension requested then.
+    /// Records that a controller granted the lease extension requested at `requested_at`.
     pub fn on_extension_granted(&mut self, node: &str, requested_at: Millis) {
         if let Some(link) = self.links.get_mut(node) {
             link.granted_extension_requested_at = link.granted_extension_requested_at.max(requested_at);
         }
     }
 
-    /// When the newest lease extension was requested that *every* controller granted.
+    /// Returns when the newest lease extension that *every* other controller granted was
+    /// requested, 0 if a controller has not granted any, or `None` if there are no other
+    /// controllers.
     pub fn extension_granted_by_all(&self) -> Option<Millis> {
         let links = self.links.values();
         links.map(|link| link.granted_extension_requested_at).min()
     }
 
-    /// Takes the leader's task counts in place of all earlier ones.
+    /// Replaces all task counts with those that the leader reported.
     pub fn set_task_counts(&mut self, counts: Vec<JobTaskCounts>) {
         let counts = counts.into_iter();
         self.task_counts = counts.map(JobTaskCounts::into_entry).collect();
     }
 
-    /// Tasks done and running of a job, as the leader last told.
+    /// Returns the task counts of a job, as last reported by the leader.
     pub fn task_counts(&self, job: &str) -> Option<TaskCounts> {
         self.task_counts.get(job).copied()
     }
 
-    /// Forgets the task counts of a job that was removed.
+    /// Removes the task counts of a job whose key was removed.
     pub fn forget_task_counts(&mut self, job: &str) {
         self.task_counts.remove(job);
     }
--- a/src/peers/message.rs
+++ b/src/peers/message.rs
@@ -1,19 +1,20 @@
 //! Messages between controllers.
 //!
-//! A frame holds the name of a variant as text and its fields by position. Controllers
-//! of different versions talk to each other during an update, so variants that were
-//! renamed in the code keep their name in the frame by `serde(rename)`, fields keep
-//! their order, and a struct stands where a tuple of the same order would do.
+//! A frame contains the name of a variant as text and its fields by position. Controllers
+//! of different versions communicate during an update, so the encoding must stay compatible:
+//! variants whose name in the code differs from the name in the frame have a
+//! `serde(rename)`, the order of fields must not change, and structs are encoded like tuples
+//! with the same order of fields.
 
 use crate::Millis;
 use crate::store::JobKey;
 use crate::wire::{DirectCommands, Report, ReportAnswer};
 use serde::{Deserialize, Serialize};
 
-/// What a user asks, as one controller forwards it to another.
+/// A user's request, in the form in which controllers forward it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum UserRequest {
-    /// Submit the job that this JSON document describes.
+    /// Submit the job described by this JSON document.
     Submit(String),
     /// Show the state of the job with this id.
     Show(String),
@@ -26,19 +27,19 @@
 pub struct Answer {
     /// The HTTP status code.
     pub status: u16,
-    /// The JSON document that is the body, or nothing.
+    /// The body, a JSON document or empty.
     pub body: String,
-    /// When to ask again, if that may help.
+    /// The value of the `Retry-After` header, in seconds, if the request may be retried.
     pub retry_after_s: Option<u32>,
 }
 
-/// How a relayed report was taken.
+/// How the receiver of a relayed report handled it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReportReply {
-    /// The leader merged it.
+    /// The leader merged the report and answers the worker.
     #[serde(rename = "Taken")]
     Accepted(ReportAnswer),
-    /// Report to this controller, or (`None`) to any other.
+    /// The worker should report to this controller, or to any other one if `None`.
     #[serde(rename = "Elsewhere")]
     Redirected(Option<String>),
 }
@@ -46,58 +47,60 @@
 /// The outcome of direct commands to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum WorkerReply {
-    /// Executed; the worker's report after the commands.
+    /// The commands were executed. Contains the worker's report after them.
     #[serde(rename = "Done")]
     Executed(Box<Report>),
-    /// Not executed: the fencing token is too low or the agent epoch another.
+    /// The commands were not executed because the fencing token is too low or the agent epoch
+    /// differs. Contains the worker's report.
     Refused(Box<Report>),
-    /// Surely not delivered, now or later.
+    /// The commands were not delivered and will not be delivered later.
     #[serde(rename = "NotSent")]
     NotDelivered,
-    /// Sent and not answered: perhaps executed, perhaps later.
+    /// The commands were sent and not answered. They may have been executed or may be executed
+    /// later.
     #[serde(rename = "Lost")]
     Unanswered,
 }
 
-/// A worker's report on its way to the leader.
+/// A worker's report that is relayed to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayedReport {
-    /// Chosen by the controller that relays it; its reply carries the same.
+    /// An id chosen by the relaying controller and repeated in the reply.
     pub id: u64,
-    /// As the worker sent it.
+    /// The report as the worker sent it.
     pub report: Report,
 }
 
 /// The leader's reply to a relayed report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayedReportReply {
-    /// That of the relayed report.
+    /// The id of the relayed report.
     pub id: u64,
-    /// How the report was taken.
+    /// Whether the report was accepted or redirected.
     pub reply: ReportReply,
 }
 
-/// Direct commands to one worker, for a peer to deliver.
+/// Direct commands to one worker that a peer is asked to deliver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AddressedCommands {
-    /// Chosen by the leader; the reply carries the same.
+    /// An id chosen by the leader and repeated in the reply.
     pub id: u64,
-    /// Where the worker listens.
+    /// The address on which the worker listens.
     pub address: String,
-    /// What it is to execute.
+    /// The commands for the worker to execute.
     pub commands: DirectCommands,
 }
 
 /// The outcome of direct commands that a peer delivered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommandReply {
-    /// That of the commands.
+    /// The id of the commands.
     pub id: u64,
-    /// What came of them.
+    /// The outcome.
     pub reply: WorkerReply,
 }
 
-/// A cancelled job, as its key in the state service says.
+/// The key of a cancelled job in the state service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CancelledJob {
     /// The value of the job's key.
@@ -117,87 +120,88 @@
     pub running: u32,
 }
 
-/// A message between controllers. Where it concerns a shard, it says which.
+/// A message between controllers. Messages that concern a shard contain its name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Sent all the time: who is there, and what it can reach.
+    /// Sent periodically to report the sender's state.
     Heartbeat {
-        /// The sender.
+        /// Name of the sender.
         node: String,
-        /// The shard that it may lead.
+        /// The shard that the sender may lead.
         shard: String,
-        /// The term under which it leads the shard, if it does.
+        /// The term under which the sender leads the shard, or `None` if it does not lead it.
         leading_term: Option<u64>,
-        /// Whether it can use the state service.
+        /// Whether the sender can use the state service.
         store_reachable: bool,
     },
-    /// A user's request for the receiver to answer.
+    /// A user's request that the receiver is asked to answer.
     #[serde(rename = "Forward")]
     ForwardRequest {
         /// The shard that the request is about.
         shard: String,
-        /// Chosen by the sender; the reply carries the same.
+        /// An id chosen by the sender and repeated in the reply.
         id: u64,
-        /// What the user asks.
+        /// The user's request.
         user_request: UserRequest,
     },
     /// The answer to a forwarded request.
     #[serde(rename = "Forwarded")]
     ForwardReply {
-        /// That of the request.
+        /// The id of the forwarded request.
         id: u64,
-        /// What to tell the user.
+        /// The answer to send to the user.
         answer: Answer,
     },
-    /// Reports of workers, many at once, for the leader to answer.
+    /// A batch of workers' reports for the leader to answer.
     #[serde(rename = "Relay")]
     RelayReports {
-        /// The shard whose leader is to answer.
+        /// The shard whose leader should answer.
         shard: String,
-        /// In the order in which they came.
+        /// The reports in the order in which they were received.
         reports: Vec<RelayedReport>,
     },
     /// The leader's replies to relayed reports.
     #[serde(rename = "Relayed")]
     ReportReplies {
-        /// In the order of the reports.
+        /// The replies in the order of the reports.
         answers: Vec<RelayedReportReply>,
     },
-    /// Direct commands for the peer to deliver to workers.
+    /// Direct commands for the receiver to deliver to workers.
     #[serde(rename = "Push")]
     DeliverCommands {
         /// The shard of the workers.
         shard: String,
-        /// One entry each worker.
+        /// The commands, one entry per worker.
         commands: Vec<AddressedCommands>,
     },
     /// The outcomes of direct commands that the sender delivered.
     #[serde(rename = "Pushed")]
     CommandReplies {
-        /// In the order in which they became known.
+        /// The outcomes in the order in which they became known.
         replies: Vec<CommandReply>,
     },
-    /// A leader that can't reach the state service asks for a lease extension (see
-    /// [`crate::election`]).
+    /// A request for a lease extension, sent by a leader that can't reach the state service
+    /// (see [`crate::election`]).
     #[serde(rename = "Hold")]
     RequestLeaseExtension {
         /// The shard that the sender leads.
         shard: String,
-        /// The sender's term. `requested_at` means nothing to another incarnation of it.
+        /// The sender's term. The grant repeats it, because `requested_at` is meaningless to
+        /// another incarnation of the sender.
         term: u64,
-        /// When it asks, by its own monotonic clock.
+        /// The time of the request, on the sender's monotonic clock.
         requested_at: Millis,
-        /// The revision that its watch cache shows.
+        /// The revision of the sender's watch cache.
         watch_revision: u64,
     },
-    /// The grant that a lease extension needs from every other controller.
+    /// A grant of a lease extension, which is needed from every other controller.
     #[serde(rename = "Held")]
     GrantLeaseExtension {
-        /// That of the request.
+        /// The term of the request.
         term: u64,
-        /// That of the request.
+        /// The time of the request, copied from it.
         requested_at: Millis,
-        /// Jobs that were cancelled after the revision of the request.
+        /// The jobs cancelled after the revision of the request, as far as the sender knows.
         cancelled_jobs: Vec<CancelledJob>,
     },
     /// Task counts of unfinished jobs, for display.
@@ -205,7 +209,7 @@
     TaskCounts {
         /// The shard of the jobs.
         shard: String,
-        /// One entry each job.
+        /// The counts, one entry per job.
         counts: Vec<JobTaskCounts>,
     },
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! The controllers beside this one: the messages exchanged with them, and what their
-//! heartbeats say of who is in reach and who leads the shard.
+//! The other controllers: the messages exchanged with them, and the reachability and
+//! leadership that their heartbeats report.
 
 mod links;
 mod message;
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -11,7 +11,7 @@
 
 proptest! {
     #[test]
-    fn messages_survive_the_link(id in any::<u64>(), text in ".{0,200}", retry in proptest::option::of(any::<u32>())) {
+    fn messages_are_decoded_as_they_were_encoded(id in any::<u64>(), text in ".{0,200}", retry in proptest::option::of(any::<u32>())) {
         for message in [
             Message::ForwardRequest { shard: "pool".into(), id, user_request: UserRequest::Submit(text.clone()) },
             Message::ForwardReply { id, answer: Answer { status: 503, body: text.clone(), retry_after_s: retry } },
@@ -32,10 +32,10 @@
     }
 }
 
-/// Guards against a controller that is cut off saying that it is well: users
-/// stayed with it and got no answer.
+/// Guards against an isolated controller that reports itself as healthy, so that users stay
+/// connected to it and get no answers.
 #[test]
-fn most_of_the_others_have_to_be_in_reach() {
+fn at_least_half_of_the_other_controllers_must_be_reachable() {
     let mut peers = PeerLinks::new(["a", "b", "c", "d"].map(String::from));
     peers.on_heartbeat(0, "a", state(None, false));
     assert!(!peers.has_reachable_majority(100));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_highest_term_in_reach_is_the_leader() {
+fn the_leader_is_the_reachable_controller_with_the_highest_term() {
     let mut peers = PeerLinks::new(["a".to_string(), "b".to_string()]);
     peers.on_heartbeat(0, "a", state(Some(3), true));
     peers.on_heartbeat(0, "b", state(Some(4), false));
@@ -55,10 +55,10 @@
     assert_eq!(peers.leader(10_000), None);
 }
 
-/// Guards against a leader that acts on while one controller, which gave no
-/// promise, claims the shard or confirms cancellations.
+/// Guards against a leader that continues to act although one controller has not granted the
+/// extension and may claim the shard or confirm cancellations.
 #[test]
-fn promises_count_only_from_all() {
+fn an_extension_counts_only_if_every_controller_has_granted_it() {
     let mut peers = PeerLinks::new(["a".to_string(), "b".to_string()]);
     peers.on_extension_granted("a", 700);
     assert_eq!(peers.extension_granted_by_all(), Some(0));
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -112,7 +112,7 @@
         Some(self.replace_all(keys, full_read))
     }
 
-    /// Replaces the cached keys with the result of a full read.
+    /// Replaces the cached jobs and claim with those of a full read.
     fn replace_all(&mut self, keys: &Keys, full_read: FullRead) -> Vec<WatchedChange> {
         let mut changes: Vec<WatchedChange> = Vec::new();
         if self.leader.take().is_some() {
