--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -35,6 +35,7 @@
 }
 
 impl Unavailable {
+    /// Returns the answer with status 503 and this reason.
     pub(super) fn answer(self) -> Answer {
         service_unavailable(&self.to_string())
     }
--- a/src/admission/confirmations.rs
+++ b/src/admission/confirmations.rs
@@ -56,7 +56,7 @@
     /// to the watch cache.
     pub fn confirming_read_done(&mut self, context: &AdmissionContext<'_>, number: u64) -> Vec<AdmissionEffect> {
         let mut effects = Vec::new();
-        for request_id in self.take_served_requests(number) {
+        for request_id in self.finish_read(number) {
             effects.extend(self.process_confirmed(context, request_id));
         }
         effects
@@ -65,7 +65,7 @@
     /// Handles the failure of the confirming read with this number.
     pub fn confirming_read_failed(&mut self, context: &AdmissionContext<'_>, number: u64) -> Vec<AdmissionEffect> {
         let mut effects = Vec::new();
-        for request_id in self.take_served_requests(number) {
+        for request_id in self.finish_read(number) {
             effects.extend(self.finish(context, request_id, Unavailable::StateServiceUnreachable.answer()));
         }
         effects
@@ -73,7 +73,7 @@
 
     /// Marks the read with this number as finished and returns the ids of the requests that it
     /// serves.
-    fn take_served_requests(&mut self, number: u64) -> Vec<u64> {
+    fn finish_read(&mut self, number: u64) -> Vec<u64> {
         self.confirming_reads.in_flight = false;
         let served = self
             .pending
--- a/src/admission/end_cache.rs
+++ b/src/admission/end_cache.rs
@@ -16,10 +16,12 @@
 }
 
 impl EndCache {
+    /// Returns how the job ended, if its end is cached.
     pub(super) fn get(&self, job_id: &str) -> Option<EndValue> {
         self.ends.get(job_id).copied()
     }
 
+    /// Adds an end. Evicts the oldest entry if the cache is full.
     pub(super) fn insert(&mut self, job_id: &str, end: EndValue) {
         if self.ends.insert(job_id.into(), end).is_some() {
             return;
--- a/src/admission/job_request.rs
+++ b/src/admission/job_request.rs
@@ -35,6 +35,8 @@
         }
     }
 
+    /// Parses a submission. A malformed one with a valid job id becomes a
+    /// [`JobRequestKind::RefusedSubmission`], because the job may already be known.
     fn parse_submission(body: &str) -> Result<JobRequest, Answer> {
         match validation::parse(body) {
             Ok(spec) => Ok(JobRequest {
@@ -51,6 +53,7 @@
         }
     }
 
+    /// Returns a request about the job with this id, or the answer if the id is not valid.
     fn for_job(job_id: &str, kind: JobRequestKind) -> Result<JobRequest, Answer> {
         if !is_valid_id(job_id) {
             return Err(answers::not_found());
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -5,7 +5,7 @@
 //! that are waiting when it is sent. Acceptances and cancellations are answered only
 //! once their create-once write is known to have succeeded.
 //!
-//! A read can become stale before its result is answered: its reply can take longer than a
+//! A read can become stale before the answer is sent: its reply can take longer than a
 //! cancellation that was requested later. Therefore every answer to a pending request is
 //! checked against the end of the job that is known by then ([`Admission::finish`]), and
 //! each end that this controller has reported to a user is cached.
@@ -63,7 +63,7 @@
     pub watch_cache: &'a WatchCache,
     /// Limits of this controller, including the memory limit that bounds unfinished work.
     pub limits: &'a Limits,
-    /// The condition that the claim still holds, while this controller is the acting leader.
+    /// The condition that the leader's claim still holds, while this controller is the acting leader.
     pub claim: Option<Condition>,
     /// Determines whether a well-formed job can ever run.
     pub feasibility: &'a dyn Fn(&JobSpec) -> Feasibility,
@@ -161,8 +161,8 @@
         Vec::new()
     }
 
-    /// Handles another controller's answer. An answer that the request can't be processed
-    /// is final too, since that controller has more recent information than this one.
+    /// Handles another controller's answer. An answer with status 503 is final too, since that
+    /// controller has better information than this one.
     pub fn on_peer_answer(
         &mut self,
         context: &AdmissionContext<'_>,
--- a/src/election/mod.rs
+++ b/src/election/mod.rs
@@ -125,8 +125,8 @@
         self.phase = Phase::Active;
     }
 
-    /// Becomes a follower without a lease that does not claim the shard again before this delay
-    /// has passed.
+    /// Becomes a follower and drops the lease. The shard is not claimed again until
+    /// `claim_delay_ms` has passed.
     pub fn step_down(&mut self, now: Millis, claim_delay_ms: Millis) {
         if self.phase != Phase::Follower {
             tracing::info!(term = self.term, claim_delay_ms, "stepped down");
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default)]
 struct PeerLink {
     /// When the last heartbeat was received, or `None` before the first one.
-    last_heartbeat_at: Option<Millis>,
+    heartbeat_received_at: Option<Millis>,
     state: HeartbeatState,
     /// When the leader requested the newest extension that this controller granted, on the
     /// leader's monotonic clock.
@@ -34,7 +34,8 @@
 
 impl PeerLink {
     fn is_reachable(&self, now: Millis) -> bool {
-        self.last_heartbeat_at.is_some_and(|at| now < at + HEARTBEAT_TIMEOUT_MS)
+        self.heartbeat_received_at
+            .is_some_and(|at| now < at + HEARTBEAT_TIMEOUT_MS)
     }
 }
 
@@ -85,7 +86,7 @@
     /// Records a heartbeat of another controller. Heartbeats of unknown senders are ignored.
     pub fn on_heartbeat(&mut self, now: Millis, node: &str, state: HeartbeatState) {
         if let Some(link) = self.links.get_mut(node) {
-            link.last_heartbeat_at = Some(now);
+            link.heartbeat_received_at = Some(now);
             link.state = state;
         }
     }
@@ -115,7 +116,7 @@
     pub fn last_heard_at(&self) -> Millis {
         self.links
             .values()
-            .filter_map(|link| link.last_heartbeat_at)
+            .filter_map(|link| link.heartbeat_received_at)
             .max()
             .unwrap_or(0)
     }
@@ -134,12 +135,13 @@
         self.links.values().filter(|link| link.is_reachable(now)).count()
     }
 
-    /// Returns the reachable controllers in turn, one per call.
+    /// Returns one of the reachable controllers, taking turns from call to call, or `None` if no
+    /// controller is reachable.
     pub fn next_reachable_peer(&mut self, now: Millis) -> Option<String> {
         self.round_robin_counter = self.round_robin_counter.wrapping_add(1);
         let index = self.round_robin_counter % self.reachable_peer_count(now).max(1);
-        let mut in_reach = self.links.iter().filter(|(_, link)| link.is_reachable(now));
-        in_reach.nth(index).map(|(node, _)| node.clone())
+        let mut reachable = self.links.iter().filter(|(_, link)| link.is_reachable(now));
+        reachable.nth(index).map(|(node, _)| node.clone())
     }
 
     /// Returns the first reachable controller, by name, that can use the state service.
