--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -194,7 +194,7 @@
 
     /// Whether no other controller and no worker was heard for long.
     pub(super) fn is_isolated(&self) -> bool {
-        !self.peers.has_no_peers() && self.leader_timers.is_isolated(self.now, self.peers.last_heard_at())
+        !self.peers.has_no_peers() && self.leader_timers.is_isolated(self.now, self.peers.last_heartbeat_at())
     }
 
     /// Removes the own claim, for another controller to take the shard.
--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -113,7 +113,7 @@
     }
 
     /// Returns when the last heartbeat of any other controller was received, 0 if none was.
-    pub fn last_heard_at(&self) -> Millis {
+    pub fn last_heartbeat_at(&self) -> Millis {
         self.links
             .values()
             .filter_map(|link| link.heartbeat_received_at)
