--- a/src/admission/effects.rs
+++ b/src/admission/effects.rs
@@ -45,12 +45,12 @@
     Forward {
         /// Id of the request that is waiting for the answer.
         request_id: u64,
-        /// Name of that controller.
+        /// Name of the controller to forward the request to.
         node: String,
         /// The request to be answered there.
         user_request: UserRequest,
     },
-    /// Record a job key that this controller has written in the watch cache.
+    /// Record in the watch cache a job key that this controller has written.
     RecordJob {
         /// Id of the job.
         id: String,
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! A read can become stale before the answer is sent: its reply can take longer than a
 //! cancellation that was requested later. Therefore every answer to a pending request is
-//! checked against the end of the job that is known by then ([`Admission::finish`]), and
+//! checked against the end of the job that is known by then (`Admission::finish`), and
 //! each end that this controller has reported to a user is cached.
 //!
 //! Admission does no I/O. Each of its methods returns the [`AdmissionEffect`]s for the
--- a/src/election/mod.rs
+++ b/src/election/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! The lease is considered valid from the time at which its last successful renewal was
 //! *sent*, so it may be considered expired too early but never too late. The age of the
-//! watch cache is measured in the same way (see [`validity`]).
+//! watch cache is measured in the same way (see the module `validity`).
 //!
 //! A *lease extension* lets a leader continue to act without its lease during an outage of
 //! the state service that affects all controllers. No controller can claim the shard or
