--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -49,7 +49,10 @@
         match reply {
             StoreReply::Granted { lease } => {
                 let sent = self.election.lease_requested_at();
-                match self.election.granted(lease, sent, &self.keys, &self.watch_cache) {
+                match self
+                    .election
+                    .claim_with_lease(lease, sent, &self.keys, &self.watch_cache)
+                {
                     Some(transaction) => self.send_claim(transaction),
                     None => self.step_down(0),
                 }
@@ -80,7 +83,7 @@
 
     /// The claim was carried out.
     fn claimed(&mut self, version: u64) {
-        self.election.claimed(version);
+        self.election.on_claim_committed(version);
         self.leader_timers.claimed(self.now);
         let is_known_valid = self.term_raise.claimed(self.now);
         if is_known_valid {
@@ -125,7 +128,7 @@
     pub(super) fn on_renew_reply(&mut self, sent: Millis, reply: StoreReply) {
         match reply {
             StoreReply::Renewed => {
-                self.election.renewed(self.now, sent);
+                self.election.on_lease_renewed(self.now, sent);
                 if self.election.is_suspended() {
                     self.refresh_watch_cache();
                 }
@@ -142,7 +145,7 @@
     /// what acting again waits for: a cancellation may have come in the meantime,
     /// and the claim may be another's.
     pub(super) fn watch_cache_read(&mut self, sent: Millis) {
-        self.election.watch_cache_read(sent);
+        self.election.on_watch_cache_read(sent);
         if !self.election.may_resume(self.now, sent) {
             return;
         }
@@ -191,7 +194,7 @@
 
     /// Whether no other controller and no worker was heard for long.
     pub(super) fn is_isolated(&self) -> bool {
-        !self.peers.is_alone() && self.leader_timers.is_isolated(self.now, self.peers.last_heard_at())
+        !self.peers.has_no_peers() && self.leader_timers.is_isolated(self.now, self.peers.last_heartbeat_at())
     }
 
     /// Removes the own claim, for another controller to take the shard.
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -27,7 +27,7 @@
     /// Direct commands in flight at once: half of what all other controllers would
     /// hold, so that one of them has room for more than its part.
     fn max_deliveries(&self) -> usize {
-        self.connections.in_flight * self.peers.count_in_reach(self.now).div_ceil(2).max(1)
+        self.connections.in_flight * self.peers.reachable_peer_count(self.now).div_ceil(2).max(1)
     }
 
     /// Sends what machines are due, if it is time.
@@ -87,8 +87,8 @@
     /// The peer to hand commands to: the one that the worker reports to, or any.
     fn peer_to_deliver(&mut self, relayed_by: Option<String>) -> Option<String> {
         relayed_by
-            .filter(|node| self.peers.is_in_reach(self.now, node))
-            .or_else(|| self.peers.next_in_reach(self.now))
+            .filter(|node| self.peers.is_peer_reachable(self.now, node))
+            .or_else(|| self.peers.next_reachable_peer(self.now))
     }
 
     /// What a peer holds for too long counts as lost: it may still arrive.
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -1,7 +1,7 @@
 //! Users' requests and health checks: admitted here, or forwarded to the leader.
 
 use super::{Controller, Output, Purpose, SHARD};
-use crate::admission::{Admission, AdmissionContext, AdmissionEffect, Requester, Verdict};
+use crate::admission::{Admission, AdmissionContext, AdmissionEffect, Feasibility, Requester};
 use crate::peers::{Answer, Message, UserRequest};
 use crate::store::{JobKey, StoreRequest};
 use crate::wire::JobSpec;
@@ -14,7 +14,7 @@
             .is_acting_leader(self.now)
             .then(|| self.election.condition(&self.keys));
         let (catalogue, teams) = (&self.catalogue, &self.settings.params.teams);
-        let verdict = |spec: &JobSpec| Verdict::of(spec, teams, catalogue.as_ref());
+        let feasibility = |spec: &JobSpec| Feasibility::of(spec, teams, catalogue.as_ref());
         let (shard, peers) = (&self.shard, &self.peers);
         let counts = |id: &str| match shard {
             Some(shard) => shard.task_counts(id),
@@ -27,7 +27,7 @@
             limits: &self.settings.params.limits,
             watch_cache: &self.watch_cache,
             claim,
-            verdict: &verdict,
+            feasibility: &feasibility,
             peers: &self.peers,
             counts: &counts,
         };
@@ -111,7 +111,7 @@
         let to = match user_request {
             UserRequest::Submit(_) | UserRequest::Cancel(_) if leader.is_some() => leader,
             _ if self.store_client.is_reachable(self.now) => None,
-            _ => leader.or(self.peers.with_store(self.now)),
+            _ => leader.or(self.peers.first_with_store_access(self.now)),
         };
         to.map(str::to_owned)
     }
@@ -121,12 +121,13 @@
     /// would ask in vain. In an outage that all share, users are better
     /// answered than refused.
     pub(super) fn on_health_check(&mut self, request: u64) {
-        let shared_outage = self.peers.most_in_reach(self.now) && self.peers.with_store(self.now).is_none();
+        let shared_outage =
+            self.peers.has_reachable_majority(self.now) && self.peers.first_with_store_access(self.now).is_none();
         let well = self.store_client.is_reachable(self.now) || (self.watch_cache.is_complete() && shared_outage);
         let answer = if well {
-            crate::admission::text(200, "")
+            crate::admission::error_answer(200, "")
         } else {
-            crate::admission::busy("the state service can't be reached")
+            crate::admission::service_unavailable("the state service can't be reached")
         };
         self.outputs.push(Output::Answer { request, answer });
     }
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -87,12 +87,12 @@
 
     pub(super) fn on_watch_cache_page(&mut self, request: &StoreRequest, reply: StoreReply) {
         let StoreReply::Page(page) = reply else {
-            self.watch_cache.restart();
+            self.watch_cache.invalidate();
             self.watch_state.read_failed(self.now + RETRY_MS);
             return;
         };
         let last_key = page.items.last().map(|entry| entry.key.clone());
-        match (self.watch_cache.take_page(&self.keys, page), last_key) {
+        match (self.watch_cache.apply_page(&self.keys, page), last_key) {
             (Some(changes), _) => {
                 self.watch_state.read_complete();
                 self.on_watched_changes(changes);
@@ -106,12 +106,12 @@
     pub(super) fn take_log(&mut self, reply: StoreReply) -> bool {
         match reply {
             StoreReply::Log(log) if self.watch_cache.is_complete() => {
-                let changes = self.watch_cache.take_log(&self.keys, log.revision, log.events);
+                let changes = self.watch_cache.apply_log(&self.keys, log.revision, log.events);
                 self.on_watched_changes(changes);
                 true
             }
             StoreReply::TooOld => {
-                self.watch_cache.restart();
+                self.watch_cache.invalidate();
                 false
             }
             _ => false,
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,10 +1,10 @@
-//! The controllers beside this one: the messages exchanged with them, and what their
-//! heartbeats say of who is in reach and who leads the shard.
+//! The other controllers: the messages exchanged with them, and the reachability and
+//! leadership that their heartbeats report.
 
 mod links;
 mod message;
 
-pub use links::{HEARTBEAT_EVERY_MS, HeartbeatState, PeerLinks};
+pub use links::{HEARTBEAT_INTERVAL_MS, HeartbeatState, PeerLinks};
 pub use message::{
     AddressedCommands, Answer, CancelledJob, CommandReply, JobTaskCounts, Message, RelayedReport, RelayedReportReply,
     ReportReply, UserRequest, WorkerReply,
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The client's side of the state service: names and values of the keys, requests and
-//! their replies, the rate budget, and the watch cache that every controller holds.
+//! The client side of the state service: names and values of the keys, requests and
+//! replies, rate limiting, and the watch cache that every controller keeps.
 
 mod keys;
 mod requests;
@@ -7,7 +7,7 @@
 mod values;
 mod watch_cache;
 
-pub use keys::{Keys, tail};
+pub use keys::{Keys, strip_key_prefix};
 pub use requests::{StoreReply, StoreRequest};
 pub use token_bucket::TokenBucket;
 pub use values::{EndValue, JobKey, LeaderValue, TermValue};
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -36,14 +36,14 @@
     }
 }
 
-/// The revision is that of the first page: what changed while later pages were read is
-/// in the log after it.
+/// Guards against missing changes made while later pages are read: the revision after a full
+/// read must be that of the first page, so that the log after it contains these changes.
 #[test]
-fn a_full_read_counts_from_its_first_page_and_tells_what_is_gone() {
+fn a_full_read_has_the_revision_of_its_first_page_and_reports_removed_jobs() {
     let (keys, mut cache) = (keys(), WatchCache::default());
     cache.record_job("j-9", serde_json::from_value(job_value("j-9", 5)).expect("a job"), 1);
     let first = page(10, true, vec![(keys.job("j-1"), job_value("j-1", 2), 4)]);
-    assert_eq!(cache.take_page(&keys, first), None);
+    assert_eq!(cache.apply_page(&keys, first), None);
     assert!(!cache.is_complete());
     let claim = json!({"node": "a", "life": 1, "term": 3});
     let last = page(
@@ -51,7 +51,7 @@
         false,
         vec![(keys.leader(), claim, 11), (keys.term(), json!({"term": 3}), 11)],
     );
-    let changes = cache.take_page(&keys, last).expect("the last page");
+    let changes = cache.apply_page(&keys, last).expect("the last page");
     let expected = [
         WatchedChange::Job("j-1".into()),
         WatchedChange::Leader,
@@ -63,21 +63,21 @@
 }
 
 #[test]
-fn what_was_applied_is_not_undone_by_an_older_change() {
+fn an_older_change_does_not_overwrite_a_newer_one() {
     let (keys, mut cache) = (keys(), WatchCache::default());
     let jobs = [
         put(keys.job("j-1"), job_value("j-1", 2), 4),
         removal(keys.job("j-1"), 6),
     ];
-    let changes = cache.take_log(&keys, 6, jobs.to_vec());
-    let appeared_and_gone = [WatchedChange::Job("j-1".into()), WatchedChange::JobGone("j-1".into())];
-    assert_eq!(changes, appeared_and_gone);
-    assert_eq!(cache.take_log(&keys, 5, jobs.to_vec()), []);
+    let changes = cache.apply_log(&keys, 6, jobs.to_vec());
+    let created_and_removed = [WatchedChange::Job("j-1".into()), WatchedChange::JobGone("j-1".into())];
+    assert_eq!(changes, created_and_removed);
+    assert_eq!(cache.apply_log(&keys, 5, jobs.to_vec()), []);
     assert_eq!((cache.revision(), cache.tasks(), cache.jobs().len()), (6, 0, 0));
 }
 
 #[test]
-fn a_claim_goes_with_its_key_and_an_unreadable_job_is_left_out() {
+fn a_claim_is_removed_with_its_key_and_an_unparsable_job_is_ignored() {
     let (keys, mut cache) = (keys(), WatchCache::default());
     let claim = json!({"node": "a", "life": 1, "term": 3});
     let events = vec![
@@ -85,14 +85,14 @@
         put(keys.job("j-1"), json!({"spec": null}), 2),
         put(keys.catalogue(), json!({"rigs": []}), 3),
     ];
-    let changes = cache.take_log(&keys, 3, events);
+    let changes = cache.apply_log(&keys, 3, events);
     assert_eq!(changes, [WatchedChange::Leader, WatchedChange::Catalogue]);
     assert_eq!(
         cache.leader().map(|(leader, version)| (leader.term, *version)),
         Some((3, 1))
     );
     let events = vec![removal(keys.leader(), 4), removal(keys.catalogue(), 4)];
-    assert_eq!(cache.take_log(&keys, 4, events), [WatchedChange::Leader]);
+    assert_eq!(cache.apply_log(&keys, 4, events), [WatchedChange::Leader]);
     assert_eq!(cache.leader(), None);
     assert!(cache.catalogue().is_some());
 }
