--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -30,15 +30,15 @@
         self.election.step_down(self.now, claim_delay);
         self.shard = None;
         self.term_raise.cancel();
-        self.forget_term();
+        self.discard_term_state();
     }
 
     /// Nothing of the term that ends counts: what was in flight under it is void, and
     /// what it did is read back.
-    fn forget_term(&mut self) {
-        self.cloud.forget();
-        self.command_delivery.forget();
-        self.store_client.forget_term();
+    fn discard_term_state(&mut self) {
+        self.cloud.clear();
+        self.command_delivery.clear();
+        self.store_client.discard_term_requests();
     }
 
     /// The lease was granted: the claim follows.
@@ -82,8 +82,8 @@
     fn claimed(&mut self, version: u64) {
         self.election.claimed(version);
         self.leader_timers.claimed(self.now);
-        let is_known_valid = self.term_raise.claimed(self.now);
-        if is_known_valid {
+        let is_state_valid = self.term_raise.claimed(self.now);
+        if is_state_valid {
             self.term_raised();
         } else {
             self.start_loading();
@@ -93,8 +93,8 @@
     /// Begins anew with an empty shard, and reads everything.
     fn start_loading(&mut self) {
         self.load_progress.start(self.now);
-        self.leader_timers.worker_heard(self.now);
-        self.forget_term();
+        self.leader_timers.note_worker_contact(self.now);
+        self.discard_term_state();
         let mut shard = Shard::new(SHARD, self.election.term(), &self.settings, &self.policy);
         if let Some(catalogue) = &self.catalogue {
             shard.set_catalogue(catalogue);
@@ -147,10 +147,10 @@
             return;
         }
         let claim = self.watch_cache.leader();
-        let ours = claim.is_some_and(|(leader, version)| {
+        let is_ours = claim.is_some_and(|(leader, version)| {
             self.election.is_current_claim(leader) && *version == self.election.claim_version()
         });
-        if ours {
+        if is_ours {
             self.election.resume();
         } else {
             self.step_down(0);
@@ -177,16 +177,16 @@
 
     /// A transaction conflicted: if the claim was among the reasons, it is gone.
     /// Unless the transaction was older than our present claim.
-    pub(super) fn check_claim_in(&mut self, request: &StoreRequest, failed: &[String]) -> bool {
+    pub(super) fn detect_lost_claim(&mut self, request: &StoreRequest, failed: &[String]) -> bool {
         let condition = self.election.condition(&self.keys);
-        let present =
+        let is_current =
             matches!(request, StoreRequest::Transact(transaction) if transaction.conditions.contains(&condition));
-        let lost = present && self.election.holds_claim() && failed.contains(&condition.key);
-        if lost {
+        let is_lost = is_current && self.election.holds_claim() && failed.contains(&condition.key);
+        if is_lost {
             tracing::warn!(term = self.election.term(), "lost the claim");
             self.step_down(0);
         }
-        lost
+        is_lost
     }
 
     /// Whether no other controller and no worker was heard for long.
@@ -218,15 +218,15 @@
         let Some(shard) = &mut self.shard else {
             return false;
         };
-        let wants_reload = self.term_raise.wants_reload();
-        let is_wanted = wants_reload || shard.workers.needs_higher_term;
+        let is_reload_requested = self.term_raise.is_reload_requested();
+        let is_needed = is_reload_requested || shard.workers.needs_higher_term;
         // Claiming gives up the lease extension, and can't succeed in an outage.
-        if !is_wanted || !self.election.is_lease_valid(self.now) || !self.term_raise.is_allowed(self.now) {
+        if !is_needed || !self.election.is_lease_valid(self.now) || !self.term_raise.is_allowed(self.now) {
             return false;
         }
         // What is in flight depends on the claim as it is.
         self.term_raise.begin();
-        if !wants_reload && shard.pending_writes.is_in_flight() {
+        if !is_reload_requested && shard.pending_writes.is_in_flight() {
             return false;
         }
         shard.workers.needs_higher_term = false;
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -10,12 +10,12 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-const CATALOGUE_EVERY_MS: Millis = 60_000;
+const CATALOGUE_INTERVAL_MS: Millis = 60_000;
 const RETRY_MS: Millis = 1_000;
 /// How long an offer that was refused or cut short is left alone.
-const REFUSED_MS: Millis = 15_000;
+const REFUSED_OFFER_BACKOFF_MS: Millis = 15_000;
 /// Machines that one call deletes.
-const MAX_DELETE: usize = 100;
+const MAX_DELETED_PER_CALL: usize = 100;
 
 /// What a call to the cloud was made for, so that its reply can be acted on.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
 
 /// The calls to the cloud that are in flight, within the limit on their rate.
 #[derive(Debug)]
-pub struct Calls {
+pub struct CloudCalls {
     rate: TokenBucket,
     in_flight: BTreeMap<u64, CloudPurpose>,
     catalogue_due: Millis,
@@ -40,10 +40,10 @@
     list_after: String,
 }
 
-impl Calls {
+impl CloudCalls {
     /// No calls yet, at no more than `rps` calls a second.
-    pub fn new(rps: f64) -> Calls {
-        Calls {
+    pub fn new(rps: f64) -> CloudCalls {
+        CloudCalls {
             rate: TokenBucket::new(rps),
             in_flight: BTreeMap::new(),
             catalogue_due: 0,
@@ -52,7 +52,7 @@
     }
 
     /// Leaves the replies to the calls in flight unread: another leader takes over.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         self.in_flight.clear();
         self.list_after.clear();
     }
@@ -60,7 +60,7 @@
 
 impl Controller {
     fn call_cloud(&mut self, purpose: CloudPurpose, request: CloudRequest) {
-        let call = self.call();
+        let call = self.next_call_id();
         self.cloud.rate.spend(1.0);
         self.cloud.in_flight.insert(call, purpose);
         self.outputs.push(Output::Cloud { call, request });
@@ -76,7 +76,7 @@
     fn read_catalogue(&mut self) {
         let now = self.now;
         if self.cloud.rate.ready(now) && now >= self.cloud.catalogue_due {
-            self.cloud.catalogue_due = now + CATALOGUE_EVERY_MS;
+            self.cloud.catalogue_due = now + CATALOGUE_INTERVAL_MS;
             self.call_cloud(CloudPurpose::ReadCatalogue, CloudRequest::Catalogue);
         }
     }
@@ -123,7 +123,7 @@
         let machines = shard.workers.machines.iter().map(|(_, machine)| machine);
         let decommissioned = machines.filter(|machine| machine.decommissioned);
         let machines: Vec<String> = decommissioned
-            .take(MAX_DELETE)
+            .take(MAX_DELETED_PER_CALL)
             .map(|machine| machine.name.clone())
             .collect();
         if machines.is_empty() {
@@ -184,7 +184,7 @@
                 conditions: vec![self.election.condition(&self.keys)],
                 changes: vec![Change::put(self.keys.catalogue(), value)],
             };
-            self.enqueue(Purpose::Catalogue, StoreRequest::Transact(transaction.into()));
+            self.enqueue(Purpose::WriteCatalogue, StoreRequest::Transact(transaction.into()));
         }
         self.set_catalogue(catalogue);
     }
@@ -212,7 +212,7 @@
                 .topology
                 .find_offer(&record.machine_type, &record.zone, record.spot)
         {
-            shard.fleet.refuse(offer, now + REFUSED_MS);
+            shard.fleet.refuse(offer, now + REFUSED_OFFER_BACKOFF_MS);
         }
         add_provisioned(shard, now, &record, machines);
         shard.pending_writes.queue_answered_request(AnsweredRequest {
--- a/src/controller/cloud/tests.rs
+++ b/src/controller/cloud/tests.rs
@@ -15,7 +15,7 @@
     controller.now = START;
     controller.shard = Some(shard);
     controller.election.activate();
-    controller.cloud.catalogue_due = START + CATALOGUE_EVERY_MS;
+    controller.cloud.catalogue_due = START + CATALOGUE_INTERVAL_MS;
     controller
 }
 
--- a/src/controller/command_delivery.rs
+++ b/src/controller/command_delivery.rs
@@ -6,7 +6,7 @@
 /// Longer than any call to a worker takes.
 const TIMEOUT_MS: Millis = 5_000;
 /// Commands that come up close together go out together.
-const INTERVAL_MS: Millis = 50;
+const DELIVERY_INTERVAL_MS: Millis = 50;
 
 /// Direct commands to a machine, under a term.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
 impl CommandDelivery {
     /// Whether to send what machines are due, which then counts as sent.
     pub(super) fn take_due(&mut self, now: Millis) -> bool {
-        let due = now >= self.delivered_at + INTERVAL_MS;
+        let due = now >= self.delivered_at + DELIVERY_INTERVAL_MS;
         if due {
             self.delivered_at = now;
         }
@@ -50,13 +50,13 @@
 
     /// Calls without a reply for too long.
     pub(super) fn expired(&self, now: Millis) -> Vec<u64> {
-        let late = self.in_flight.iter();
-        let late = late.filter(|(_, direct_call)| now > direct_call.sent_at + TIMEOUT_MS);
-        late.map(|(&call, _)| call).collect()
+        let expired = self.in_flight.iter();
+        let expired = expired.filter(|(_, direct_call)| now > direct_call.sent_at + TIMEOUT_MS);
+        expired.map(|(&call, _)| call).collect()
     }
 
     /// Forgets all: the term ends.
-    pub(super) fn forget(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.in_flight.clear();
     }
 }
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -11,7 +11,7 @@
 use super::store_calls::RETRY_MS;
 use super::{Controller, Purpose};
 use crate::store::{StoreReply, StoreRequest};
-use evidence::Verdict;
+use evidence::CommitOutcome;
 
 impl Controller {
     /// Writes what is due in one transaction, if none is in flight.
@@ -87,7 +87,7 @@
 
     /// Keys did not have the versions that the transaction requires.
     fn commit_conflicted(&mut self, request: &StoreRequest, failed: &[String]) {
-        if self.check_claim_in(request, failed) {
+        if self.detect_lost_claim(request, failed) {
             return;
         }
         let shard = self.shard.as_ref();
@@ -116,18 +116,18 @@
             self.enqueue_after(RETRY_MS, Purpose::CheckCommit(evidence), request);
             return;
         }
-        match evidence.verdict(reply) {
-            Verdict::Applied { revision } => self.commit_applied(revision),
-            Verdict::NotApplied => self.commit_not_applied(),
-            Verdict::Unknown => self.reload_after_conflict(),
+        match evidence.outcome(reply) {
+            CommitOutcome::Applied { revision } => self.commit_applied(revision),
+            CommitOutcome::NotApplied => self.commit_not_applied(),
+            CommitOutcome::Unknown => self.reload_after_conflict(),
         }
     }
 
     /// Surely not applied, as these keys are not what they were thought to be.
     fn commit_refused(&mut self, failed: &[String]) {
         let (jobs, ends) = (self.keys.jobs(), self.keys.ends());
-        let is_of_users = |key: &String| key.starts_with(&jobs) || key.starts_with(&ends);
-        if failed.iter().all(is_of_users) {
+        let is_user_key = |key: &String| key.starts_with(&jobs) || key.starts_with(&ends);
+        if failed.iter().all(is_user_key) {
             tracing::debug!(?failed, "dropping a transaction of an ended job");
             self.commit_not_applied();
         } else {
--- a/src/controller/commits/evidence.rs
+++ b/src/controller/commits/evidence.rs
@@ -10,14 +10,14 @@
     /// The key's name.
     pub key: String,
     /// The version that the transaction requires of it.
-    pub(super) before: u64,
+    pub(super) expected_version: u64,
     /// What the transaction writes there; `None` if it removes the key.
     value: Option<Value>,
 }
 
 /// What the evidence says of a transaction that conflicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum CommitOutcome {
     Applied { revision: u64 },
     NotApplied,
     Unknown,
@@ -31,18 +31,18 @@
         let evidence = transaction
             .changes
             .iter()
-            .filter(|change| !key_of(change).starts_with(jobs))
+            .filter(|change| !changed_key(change).starts_with(jobs))
             .filter_map(|change| Evidence::of_change(transaction, change));
         evidence.max_by_key(|evidence| evidence.value.is_some())
     }
 
     fn of_change(transaction: &Transaction, change: &Change) -> Option<Evidence> {
-        let key = key_of(change);
+        let key = changed_key(change);
         let mut conditions = transaction.conditions.iter();
         let required = conditions.find(|condition| condition.key == key)?;
         Some(Evidence {
             key: key.to_owned(),
-            before: required.version,
+            expected_version: required.version,
             value: match change {
                 Change::Put { value, .. } => Some(value.clone()),
                 Change::Delete { .. } => None,
@@ -51,22 +51,22 @@
     }
 
     /// What follows from the state in which the key was found after the conflict.
-    pub(super) fn verdict(&self, reply: &StoreReply) -> Verdict {
+    pub(super) fn outcome(&self, reply: &StoreReply) -> CommitOutcome {
         match (reply, &self.value) {
-            (StoreReply::Found { version, .. }, _) if *version == self.before => Verdict::NotApplied,
-            (StoreReply::Missing, Some(_)) if self.before == 0 => Verdict::NotApplied,
+            (StoreReply::Found { version, .. }, _) if *version == self.expected_version => CommitOutcome::NotApplied,
+            (StoreReply::Missing, Some(_)) if self.expected_version == 0 => CommitOutcome::NotApplied,
             // Nobody else removes it, and without anything written the revision
             // is of no use.
-            (StoreReply::Missing, None) => Verdict::Applied { revision: 0 },
+            (StoreReply::Missing, None) => CommitOutcome::Applied { revision: 0 },
             (StoreReply::Found { value, version }, Some(written)) if value == written => {
-                Verdict::Applied { revision: *version }
+                CommitOutcome::Applied { revision: *version }
             }
-            _ => Verdict::Unknown,
+            _ => CommitOutcome::Unknown,
         }
     }
 }
 
-fn key_of(change: &Change) -> &str {
+fn changed_key(change: &Change) -> &str {
     match change {
         Change::Put { put, .. } => put,
         Change::Delete { delete } => delete,
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -96,7 +96,7 @@
     let value = firing_in_flight(&controller);
     let look = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
     step(&mut controller, look, StoreReply::Found { value, version: 12 });
-    assert!(!in_flight(&controller) && !controller.term_raise.wants_reload());
+    assert!(!in_flight(&controller) && !controller.term_raise.is_reload_requested());
     assert_eq!(chunk_version(&controller), 12);
     let shard = controller.shard.as_ref().expect("leads");
     assert!(
@@ -113,7 +113,7 @@
     let (mut controller, second) = leader_with_an_unanswered_firing();
     let look = conflict(&mut controller, second, "live/pool/job/j-1");
     step(&mut controller, look, StoreReply::Missing);
-    assert!(!in_flight(&controller) && !controller.term_raise.wants_reload());
+    assert!(!in_flight(&controller) && !controller.term_raise.is_reload_requested());
     let shard = controller.shard.as_ref().expect("leads");
     assert!(shard.starts_wait());
     assert!(
@@ -131,7 +131,7 @@
     let look = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
     let value = serde_json::json!({"next": 9, "done": "", "open": []});
     step(&mut controller, look, StoreReply::Found { value, version: 12 });
-    assert!(controller.term_raise.wants_reload());
+    assert!(controller.term_raise.is_reload_requested());
 }
 
 #[test]
@@ -144,7 +144,7 @@
     controller.send_queued();
     let again = sent(&std::mem::take(&mut controller.outputs), false);
     step(&mut controller, again, StoreReply::Missing);
-    assert!(!in_flight(&controller) && !controller.term_raise.wants_reload());
+    assert!(!in_flight(&controller) && !controller.term_raise.is_reload_requested());
 }
 
 /// A cancelled job's key is changed by others, so it is no evidence.
@@ -160,11 +160,14 @@
         changes: vec![put("live/job/j-1"), Change::delete("kept/hire/r")],
     };
     let evidence = Evidence::of(&transaction, "live/job/").expect("the machine_request");
-    assert_eq!((evidence.key.as_str(), evidence.before), ("kept/hire/r", 6));
-    assert_eq!(evidence.verdict(&StoreReply::Missing), Verdict::Applied { revision: 0 });
+    assert_eq!((evidence.key.as_str(), evidence.expected_version), ("kept/hire/r", 6));
+    assert_eq!(
+        evidence.outcome(&StoreReply::Missing),
+        CommitOutcome::Applied { revision: 0 }
+    );
     transaction.changes.push(put("kept/end/j-1"));
     transaction.conditions.push(condition("kept/end/j-1", 0));
     let evidence = Evidence::of(&transaction, "live/job/").expect("the end");
     assert_eq!(evidence.key, "kept/end/j-1");
-    assert_eq!(evidence.verdict(&StoreReply::Missing), Verdict::NotApplied);
+    assert_eq!(evidence.outcome(&StoreReply::Missing), CommitOutcome::NotApplied);
 }
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -14,7 +14,7 @@
 const RETRY_MS: Millis = 2_000;
 
 /// Commands that a machine is due.
-struct Due {
+struct DueCommands {
     name: String,
     /// The peer that relayed its last report.
     relayed_by: Option<String>,
@@ -42,7 +42,7 @@
         let all_due = shard.due_commands(self.now, available);
         let mut by_peer: BTreeMap<String, Vec<AddressedCommands>> = BTreeMap::new();
         for mut due in all_due {
-            let peer = self.peer_to_deliver(due.relayed_by.take());
+            let peer = self.delivery_peer(due.relayed_by.take());
             let AddressedCommands { id, address, commands } = self.start_delivery(due);
             match peer {
                 Some(node) => by_peer
@@ -64,14 +64,14 @@
     }
 
     /// Notes the commands as in flight, under a call of their own.
-    fn start_delivery(&mut self, due: Due) -> AddressedCommands {
+    fn start_delivery(&mut self, due: DueCommands) -> AddressedCommands {
         let term = self.election.term();
         let direct_call = DirectCall {
             machine: due.name,
             term,
             sent_at: self.now,
         };
-        let call = self.call();
+        let call = self.next_call_id();
         self.command_delivery.sent(call, direct_call);
         AddressedCommands {
             id: call,
@@ -85,7 +85,7 @@
     }
 
     /// The peer to hand commands to: the one that the worker reports to, or any.
-    fn peer_to_deliver(&mut self, relayed_by: Option<String>) -> Option<String> {
+    fn delivery_peer(&mut self, relayed_by: Option<String>) -> Option<String> {
         relayed_by
             .filter(|node| self.peers.is_in_reach(self.now, node))
             .or_else(|| self.peers.next_in_reach(self.now))
@@ -147,7 +147,7 @@
 
     /// Commands for at most so many machines, those with open attempts first: they
     /// hold up work, the others can wait.
-    fn due_commands(&mut self, now: Millis, mut max_machines: usize) -> Vec<Due> {
+    fn due_commands(&mut self, now: Millis, mut max_machines: usize) -> Vec<DueCommands> {
         let mut machines: Vec<MachineIx> = self.workers.delivery_due.iter().copied().collect();
         machines.sort_by_key(|&ix| {
             self.workers
@@ -169,7 +169,7 @@
     }
 
     /// What a machine is due now, which then counts as sent.
-    fn due_commands_of(&mut self, now: Millis, ix: MachineIx) -> Option<Due> {
+    fn due_commands_of(&mut self, now: Millis, ix: MachineIx) -> Option<DueCommands> {
         let Some(machine) = self.workers.machines.get(ix).filter(|machine| !machine.decommissioned) else {
             self.workers.delivery_due.remove(&ix);
             return None;
@@ -181,13 +181,14 @@
         self.workers.delivery_due.remove(&ix);
         let commands = self.commands(now, ix);
         let machine = self.workers.machines.get_mut(ix)?;
-        let well = machine.heard_at.is_some() && machine.missed_answers == 0 && !machine.has_unanswered_command;
-        if commands.is_empty() && well {
+        let is_responsive =
+            machine.heard_at.is_some() && machine.missed_answers == 0 && !machine.has_unanswered_command;
+        if commands.is_empty() && is_responsive {
             return None;
         }
         machine.delivery.in_flight = true;
         machine.delivery.has_starts = commands.iter().any(|command| matches!(command, Command::Start { .. }));
-        Some(Due {
+        Some(DueCommands {
             name: machine.name.clone(),
             relayed_by: machine.relayed_by.clone(),
             address,
--- a/src/controller/id_sequence.rs
+++ b/src/controller/id_sequence.rs
@@ -9,7 +9,7 @@
 impl IdSequence {
     /// Numbers far from those of other incarnations: a peer may still answer what a
     /// former incarnation of this process asked.
-    pub(super) fn of_incarnation(incarnation: u64) -> IdSequence {
+    pub(super) fn for_incarnation(incarnation: u64) -> IdSequence {
         IdSequence { last: incarnation >> 1 }
     }
 
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -9,7 +9,7 @@
 use crate::workers::{Merged, ReportPath};
 
 /// Jobs whose counts are told, so that the message stays well within a frame.
-const MAX_COUNTS: usize = 20_000;
+const MAX_TASK_COUNTS: usize = 20_000;
 /// Pause before a claim after resigning: others go first.
 const RESIGNED_CLAIM_DELAY_MS: Millis = 6_000;
 /// The same after a worker has seen a higher fencing token.
@@ -18,7 +18,7 @@
 impl Controller {
     pub(super) fn advance_leader(&mut self) {
         if !self.leads() || self.shard.is_none() {
-            self.give_up_stalled_loading();
+            self.abort_stalled_loading();
             return;
         }
         if self.is_isolated() {
@@ -37,7 +37,7 @@
         self.commit();
         self.deliver_commands();
         self.advance_cloud();
-        self.send_counts();
+        self.send_task_counts();
     }
 
     /// What time alone has changed.
@@ -46,8 +46,8 @@
             return;
         };
         shard.wall_clock = self.wall_clock;
-        let was_absent = self.leader_timers.note_acting(self.now);
-        if was_absent {
+        let was_inactive = self.leader_timers.note_acting(self.now);
+        if was_inactive {
             shard.workers.hearing_since = self.now;
         }
         if self.leader_timers.take_maintenance_due(self.now) {
@@ -89,7 +89,7 @@
         let merged = shard.merge_report(now, report, path);
         match merged {
             Merged::Newest(ix) => {
-                self.leader_timers.worker_heard(now);
+                self.leader_timers.note_worker_contact(now);
                 let machine = shard.workers.machines.get(ix);
                 if machine
                     .is_some_and(|machine| !machine.unmatched_tasks.is_empty() && machine.delivery.not_before <= now)
@@ -146,8 +146,8 @@
     }
 
     /// Tells the other controllers the task counts of unfinished jobs, if it is time.
-    fn send_counts(&mut self) {
-        if !self.leader_timers.take_counts_due(self.now) {
+    fn send_task_counts(&mut self) {
+        if !self.leader_timers.take_task_counts_due(self.now) {
             return;
         }
         let Some(shard) = &self.shard else {
@@ -166,7 +166,7 @@
                     running,
                 })
             })
-            .take(MAX_COUNTS)
+            .take(MAX_TASK_COUNTS)
             .collect();
         self.log_summary(shard);
         let shard = SHARD.into();
--- a/src/controller/lease_extension.rs
+++ b/src/controller/lease_extension.rs
@@ -7,7 +7,7 @@
 use crate::wire::JobState;
 
 /// Cancellations told with a grant; an extension that would take more is not granted.
-const MAX_CANCELLED: usize = 200;
+const MAX_CANCELLED_JOBS: usize = 200;
 
 impl Controller {
     /// As the leader: asks all others, if it is time.
@@ -48,13 +48,13 @@
         let newer = self.watch_cache.jobs().values();
         let newer = newer.filter(|(key, version)| *version > watch_revision && key.ended == Some(JobState::Cancelled));
         let cancelled_jobs: Vec<_> = newer
-            .take(MAX_CANCELLED + 1)
+            .take(MAX_CANCELLED_JOBS + 1)
             .map(|(key, version)| CancelledJob {
                 key: key.clone(),
                 version: *version,
             })
             .collect();
-        (cancelled_jobs.len() <= MAX_CANCELLED).then_some(cancelled_jobs)
+        (cancelled_jobs.len() <= MAX_CANCELLED_JOBS).then_some(cancelled_jobs)
     }
 
     /// A grant for the leader's term. What was cancelled through others is stopped
@@ -70,7 +70,7 @@
             return;
         }
         for job in cancelled_jobs {
-            self.learn_cancelled(job);
+            self.apply_cancellation(job);
         }
         self.peers.extension_granted(node, requested_at);
         if let Some(requested_at) = self.peers.extension_granted_by_all() {
@@ -78,7 +78,7 @@
         }
     }
 
-    fn learn_cancelled(&mut self, CancelledJob { key, version }: CancelledJob) {
+    fn apply_cancellation(&mut self, CancelledJob { key, version }: CancelledJob) {
         let id = key.spec.id.clone();
         let known = self.watch_cache.jobs().get(&id);
         if version > self.watch_cache.revision() && known.is_none_or(|&(_, known)| known < version) {
--- a/src/controller/load_progress.rs
+++ b/src/controller/load_progress.rs
@@ -4,7 +4,7 @@
 
 /// Loading is given up when nothing was read for this long: a full store that
 /// answers slowly takes its time, and beginning anew would take as long again.
-const PATIENCE_MS: Millis = 5_000;
+const STALL_TIMEOUT_MS: Millis = 5_000;
 
 /// The progress of loading.
 #[derive(Debug, Default)]
@@ -29,6 +29,6 @@
 
     /// Whether no answer came for long.
     pub(super) fn is_stalled(&self, now: Millis) -> bool {
-        now > self.last_answer_at + PATIENCE_MS
+        now > self.last_answer_at + STALL_TIMEOUT_MS
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -100,7 +100,7 @@
     placement_rounds: PlacementRounds,
     command_delivery: CommandDelivery,
     redirects: Redirects,
-    cloud: cloud::Calls,
+    cloud: cloud::CloudCalls,
 
     // What the others do for the leader.
     forwarded_requests: ForwardedRequests,
@@ -119,8 +119,8 @@
             now: 0,
             wall_clock: 0,
             outputs: Vec::new(),
-            call_ids: IdSequence::of_incarnation(incarnation),
-            peer_request_ids: IdSequence::of_incarnation(incarnation),
+            call_ids: IdSequence::for_incarnation(incarnation),
+            peer_request_ids: IdSequence::for_incarnation(incarnation),
             election: LeaderElection::new(&settings.node, incarnation, settings.max_watch_cache_age_ms()),
             peers: PeerLinks::new(nodes),
             admission: Admission::default(),
@@ -135,7 +135,7 @@
             placement_rounds: PlacementRounds::default(),
             command_delivery: CommandDelivery::default(),
             redirects: Redirects::default(),
-            cloud: cloud::Calls::new(settings.params.cloud.rps * CLOUD_RATE_SHARE),
+            cloud: cloud::CloudCalls::new(settings.params.cloud.rps * CLOUD_RATE_SHARE),
             forwarded_requests: ForwardedRequests::default(),
             report_relay: ReportRelay::default(),
             delegated_commands: DelegatedCommands::default(),
@@ -167,7 +167,7 @@
         self.election.is_acting_leader(self.now)
     }
 
-    fn call(&mut self) -> u64 {
+    fn next_call_id(&mut self) -> u64 {
         self.call_ids.next()
     }
 
@@ -177,8 +177,8 @@
         self.tick_admission();
         self.expire_relayed_reports();
         self.flush_relays();
-        self.redirects.forget_old(self.now);
-        self.forwarded_requests.forget_old(self.peer_request_ids.last());
+        self.redirects.prune(self.now);
+        self.forwarded_requests.prune(self.peer_request_ids.last());
     }
 
     /// Whatever is due, after every input.
@@ -187,7 +187,7 @@
         self.advance_election();
         self.advance_leader();
         if let Some(read) = self.admission.take_confirming_read() {
-            self.confirm_for_admission(read);
+            self.refresh_for_admission(read);
         }
         self.send_queued();
     }
@@ -201,10 +201,10 @@
         match self.election.poll(self.now, &self.watch_cache, connectivity) {
             Some(LeaseRequest::Grant) => {
                 let ttl_ms = crate::election::LEASE_MS;
-                self.enqueue(Purpose::Grant, StoreRequest::Grant { ttl_ms });
+                self.enqueue(Purpose::GrantLease, StoreRequest::Grant { ttl_ms });
             }
             Some(LeaseRequest::Renew(lease)) => {
-                self.enqueue(Purpose::Renew { sent: self.now }, StoreRequest::Renew(lease));
+                self.enqueue(Purpose::RenewLease { sent: self.now }, StoreRequest::Renew(lease));
             }
             None => {}
         }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -60,9 +60,9 @@
     }
 
     fn on_forward_reply(&mut self, node: &str, id: u64, answer: Answer) {
-        if let Some(pending_id) = self.forwarded_requests.take(id) {
-            let effects =
-                self.with_admission(|admission, context| admission.forwarded(context, pending_id, node, answer));
+        if let Some(admission_request_id) = self.forwarded_requests.take(id) {
+            let effects = self
+                .with_admission(|admission, context| admission.forwarded(context, admission_request_id, node, answer));
             self.apply_effects(effects);
         }
     }
@@ -74,7 +74,7 @@
                 self.delegated_commands.refuse(leader, id);
                 continue;
             }
-            let call = self.call();
+            let call = self.next_call_id();
             self.delegated_commands.sent(call, leader, id);
             self.outputs.push(Output::Worker {
                 call,
--- a/src/controller/placement_rounds.rs
+++ b/src/controller/placement_rounds.rs
@@ -3,12 +3,12 @@
 use crate::Millis;
 
 /// Pause between two rounds, if something has changed.
-const AFTER_CHANGE_MS: Millis = 25;
+const INTERVAL_AFTER_CHANGE_MS: Millis = 25;
 /// Pause between two rounds without any change.
-const ANYWAY_MS: Millis = 400;
+const INTERVAL_WITHOUT_CHANGE_MS: Millis = 400;
 /// Machines and jobs that make the pause a millisecond longer: what a round costs
 /// grows with them.
-const SIZE_PER_MS: usize = 20;
+const SIZE_PER_EXTRA_MS: usize = 20;
 
 /// The leader's rounds of placement.
 #[derive(Debug, Default)]
@@ -26,9 +26,9 @@
     /// Whether a round is due, which then counts as begun. `size`: machines and jobs.
     pub(super) fn take_due(&mut self, now: Millis, size: usize) -> bool {
         let pause = if self.is_requested {
-            AFTER_CHANGE_MS + (size / SIZE_PER_MS) as Millis
+            INTERVAL_AFTER_CHANGE_MS + (size / SIZE_PER_EXTRA_MS) as Millis
         } else {
-            ANYWAY_MS
+            INTERVAL_WITHOUT_CHANGE_MS
         };
         let due = now >= self.last_at + pause;
         if due {
--- a/src/controller/redirects.rs
+++ b/src/controller/redirects.rs
@@ -4,25 +4,25 @@
 use std::collections::BTreeMap;
 
 /// A worker back so soon after it was redirected can't use that controller.
-const REDIRECT_FAILED_WITHIN_MS: Millis = 25_000;
-const STAY_AFTER_FAILED_REDIRECT_MS: Millis = 60_000;
+const FAILED_REDIRECT_WINDOW_MS: Millis = 25_000;
+const FAILED_REDIRECT_EXEMPTION_MS: Millis = 60_000;
 /// How often workers redirected long ago are forgotten.
-const FORGET_EVERY_MS: Millis = 10_000;
+const PRUNE_INTERVAL_MS: Millis = 10_000;
 
 #[derive(Clone, Copy, Debug)]
 struct RedirectedWorker {
     redirected_at: Millis,
-    stays_until: Millis,
+    exempt_until: Millis,
 }
 
 impl RedirectedWorker {
     /// Whether a report soon after the redirect would mean that it failed.
     fn is_recent(&self, now: Millis) -> bool {
-        now < self.redirected_at + REDIRECT_FAILED_WITHIN_MS
+        now < self.redirected_at + FAILED_REDIRECT_WINDOW_MS
     }
 
-    fn may_stay(&self, now: Millis) -> bool {
-        now < self.stays_until
+    fn is_exempt(&self, now: Millis) -> bool {
+        now < self.exempt_until
     }
 }
 
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Redirects {
     workers: BTreeMap<String, RedirectedWorker>,
-    forgotten_at: Millis,
+    pruned_at: Millis,
 }
 
 impl Redirects {
@@ -39,15 +39,15 @@
     /// while.
     pub(super) fn should_redirect(&mut self, now: Millis, machine: &str) -> bool {
         match self.workers.get_mut(machine) {
-            Some(worker) if worker.may_stay(now) => false,
+            Some(worker) if worker.is_exempt(now) => false,
             Some(worker) if worker.is_recent(now) => {
-                worker.stays_until = now + STAY_AFTER_FAILED_REDIRECT_MS;
+                worker.exempt_until = now + FAILED_REDIRECT_EXEMPTION_MS;
                 false
             }
             _ => {
                 let worker = RedirectedWorker {
                     redirected_at: now,
-                    stays_until: 0,
+                    exempt_until: 0,
                 };
                 self.workers.insert(machine.into(), worker);
                 true
@@ -57,12 +57,12 @@
 
     /// Forgets, now and then, the workers of which it no longer matters that they were
     /// redirected.
-    pub(super) fn forget_old(&mut self, now: Millis) {
-        if now < self.forgotten_at + FORGET_EVERY_MS {
+    pub(super) fn prune(&mut self, now: Millis) {
+        if now < self.pruned_at + PRUNE_INTERVAL_MS {
             return;
         }
-        self.forgotten_at = now;
+        self.pruned_at = now;
         let workers = &mut self.workers;
-        workers.retain(|_, worker| worker.may_stay(now) || worker.is_recent(now));
+        workers.retain(|_, worker| worker.is_exempt(now) || worker.is_recent(now));
     }
 }
--- a/src/controller/report_relay.rs
+++ b/src/controller/report_relay.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 
 /// A worker is sent elsewhere if the leader has not replied by then.
-const PATIENCE_MS: Millis = 3_000;
+const REPLY_TIMEOUT_MS: Millis = 3_000;
 /// How often reports are relayed to the leader and replies returned to it. A frame
 /// costs the leader more than most of what it holds.
-const FLUSH_EVERY_MS: Millis = 100;
+const FLUSH_INTERVAL_MS: Millis = 100;
 
 #[derive(Debug)]
 struct WaitingReport {
@@ -35,7 +35,7 @@
 
     /// Relays a report with the next flush.
     pub(super) fn add(&mut self, now: Millis, id: u64, request: u64, report: Report) {
-        let expires_at = now + PATIENCE_MS;
+        let expires_at = now + REPLY_TIMEOUT_MS;
         self.waiting.insert(id, WaitingReport { request, expires_at });
         self.unsent.push(RelayedReport { id, report });
     }
@@ -53,7 +53,7 @@
 
     /// Whether to send on what has come together, which then counts as done.
     pub(super) fn take_flush_due(&mut self, now: Millis) -> bool {
-        let due = now >= self.flushed_at + FLUSH_EVERY_MS;
+        let due = now >= self.flushed_at + FLUSH_INTERVAL_MS;
         if due {
             self.flushed_at = now;
         }
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -39,13 +39,13 @@
             match effect {
                 AdmissionEffect::Answer(requester, answer) => self.answer_requester(requester, answer),
                 AdmissionEffect::ReadEnd { request_id, key } => {
-                    self.enqueue(Purpose::ReadEnd(request_id), StoreRequest::Get(key))
+                    self.enqueue(Purpose::ReadJobEnd(request_id), StoreRequest::Get(key))
                 }
                 AdmissionEffect::Write {
                     request_id,
                     transaction,
                 } => {
-                    self.enqueue(Purpose::Write(request_id), StoreRequest::Transact(transaction));
+                    self.enqueue(Purpose::UserWrite(request_id), StoreRequest::Transact(transaction));
                 }
                 AdmissionEffect::Forward {
                     request_id,
@@ -67,9 +67,9 @@
         });
     }
 
-    fn forward(&mut self, pending_id: u64, node: String, user_request: UserRequest) {
+    fn forward(&mut self, admission_request_id: u64, node: String, user_request: UserRequest) {
         let id = self.peer_request_ids.next();
-        self.forwarded_requests.add(id, pending_id);
+        self.forwarded_requests.add(id, admission_request_id);
         let message = Message::ForwardRequest {
             shard: SHARD.into(),
             id,
@@ -88,7 +88,7 @@
     }
 
     pub(super) fn on_user_request(&mut self, request: u64, user_request: UserRequest) {
-        let forward = self.forward_to(&user_request);
+        let forward = self.forward_target(&user_request);
         let requester = Requester::User(request);
         let effects =
             self.with_admission(|admission, context| admission.handle(context, requester, user_request, forward));
@@ -103,7 +103,7 @@
 
     /// Who should answer: the leader takes submissions and cancels; any other
     /// controller only when this one can't use the state service.
-    fn forward_to(&self, user_request: &UserRequest) -> Option<String> {
+    fn forward_target(&self, user_request: &UserRequest) -> Option<String> {
         if self.leads() {
             return None;
         }
@@ -122,8 +122,8 @@
     /// answered than refused.
     pub(super) fn on_health_check(&mut self, request: u64) {
         let shared_outage = self.peers.most_in_reach(self.now) && self.peers.with_store(self.now).is_none();
-        let well = self.store_client.is_reachable(self.now) || (self.watch_cache.is_complete() && shared_outage);
-        let answer = if well {
+        let is_healthy = self.store_client.is_reachable(self.now) || (self.watch_cache.is_complete() && shared_outage);
+        let answer = if is_healthy {
             crate::admission::text(200, "")
         } else {
             crate::admission::busy("the state service can't be reached")
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -8,7 +8,7 @@
 /// Pause before a request without an answer is sent again.
 pub(super) const RETRY_MS: Millis = 200;
 /// Pause before a request beyond the service's rate is sent again.
-const THROTTLED_MS: Millis = 250;
+const THROTTLED_RETRY_MS: Millis = 250;
 
 impl Controller {
     pub(super) fn enqueue(&mut self, purpose: Purpose, request: StoreRequest) {
@@ -34,9 +34,9 @@
         let Some(answered) = self.store_client.take_answered(self.now, call, &reply) else {
             return;
         };
-        let is_renewal = matches!(answered.purpose, Purpose::Renew { .. });
+        let is_renewal = matches!(answered.purpose, Purpose::RenewLease { .. });
         if reply == StoreReply::Throttled && !is_renewal {
-            self.enqueue_after(THROTTLED_MS, answered.purpose, answered.request);
+            self.enqueue_after(THROTTLED_RETRY_MS, answered.purpose, answered.request);
             return;
         }
         self.on_answered(answered.purpose, &answered.request, reply);
@@ -44,30 +44,31 @@
 
     fn on_answered(&mut self, purpose: Purpose, request: &StoreRequest, reply: StoreReply) {
         match purpose {
-            Purpose::Grant => self.on_lease_granted(reply),
+            Purpose::GrantLease => self.on_lease_granted(reply),
             Purpose::Claim { transaction, sent } => self.on_claim_reply(transaction, sent, reply),
-            Purpose::Renew { sent } => self.on_renew_reply(sent, reply),
+            Purpose::RenewLease { sent } => self.on_renew_reply(sent, reply),
             Purpose::CheckClaim => self.on_claim_checked(reply),
             Purpose::ReadWatchCache => self.on_watch_cache_page(request, reply),
             Purpose::Watch => self.on_watch_reply(reply),
-            Purpose::Refresh { admission_read, sent } => self.on_refreshed(admission_read, sent, reply),
+            Purpose::RefreshWatchCache { admission_read, sent } => self.on_refreshed(admission_read, sent, reply),
             Purpose::Load(stage) => self.on_load_reply(stage, request, reply),
             Purpose::Commit => self.on_commit_reply(request, reply),
             Purpose::CheckCommit(evidence) => self.on_commit_checked(evidence, &reply),
-            Purpose::ReadEnd(pending_id) => {
-                let effects = self.with_admission(|admission, context| admission.end_read(context, pending_id, &reply));
+            Purpose::ReadJobEnd(admission_request_id) => {
+                let effects =
+                    self.with_admission(|admission, context| admission.end_read(context, admission_request_id, &reply));
                 self.apply_effects(effects);
             }
-            Purpose::Write(pending_id) => self.on_user_write_reply(pending_id, request, &reply),
-            Purpose::Catalogue | Purpose::Resign => {}
+            Purpose::UserWrite(admission_request_id) => self.on_user_write_reply(admission_request_id, request, &reply),
+            Purpose::WriteCatalogue | Purpose::Resign => {}
         }
     }
 
-    fn on_user_write_reply(&mut self, pending_id: u64, request: &StoreRequest, reply: &StoreReply) {
+    fn on_user_write_reply(&mut self, admission_request_id: u64, request: &StoreRequest, reply: &StoreReply) {
         if let StoreReply::Conflict { failed } = reply {
-            self.check_claim_in(request, failed);
+            self.detect_lost_claim(request, failed);
         }
-        let effects = self.with_admission(|admission, context| admission.written(context, pending_id, reply));
+        let effects = self.with_admission(|admission, context| admission.written(context, admission_request_id, reply));
         self.apply_effects(effects);
     }
 }
--- a/src/controller/store_client.rs
+++ b/src/controller/store_client.rs
@@ -24,7 +24,7 @@
 }
 
 /// A request and why it was made.
-pub(super) struct PurposedRequest {
+pub(super) struct TrackedRequest {
     pub(super) purpose: Purpose,
     pub(super) request: StoreRequest,
 }
@@ -39,7 +39,7 @@
 /// Requests to the state service, sent within the rates.
 pub(super) struct StoreClient {
     queue: VecDeque<QueuedRequest>,
-    in_flight: BTreeMap<u64, PurposedRequest>,
+    in_flight: BTreeMap<u64, TrackedRequest>,
     requests: TokenBucket,
     writes: TokenBucket,
     /// Reserved for what users wait for, so that it never queues behind a large
@@ -91,8 +91,8 @@
     pub(super) fn rate_shares(&self, phase: Phase) -> RateShares {
         if phase == Phase::Follower {
             store_rates::FOLLOWERS.divided_by(self.controllers)
-        } else if self.queue.iter().any(|queued| queued.purpose.is_users_write()) {
-            store_rates::LEADER_WHILE_USERS_WAIT
+        } else if self.queue.iter().any(|queued| queued.purpose.is_user_write()) {
+            store_rates::LEADER_WITH_QUEUED_USER_WRITES
         } else {
             store_rates::LEADER
         }
@@ -120,7 +120,7 @@
 
     /// What pays for the request now. `None`: it has to wait.
     fn ready_budget(&mut self, now: Millis, queued: &QueuedRequest) -> Option<WriteBudget> {
-        let budget = if queued.purpose.is_users_write() && self.user_writes.ready(now) {
+        let budget = if queued.purpose.is_user_write() && self.user_writes.ready(now) {
             WriteBudget::Users
         } else {
             WriteBudget::Controller
@@ -150,23 +150,23 @@
             call,
             request: request.clone(),
         });
-        self.in_flight.insert(call, PurposedRequest { purpose, request });
+        self.in_flight.insert(call, TrackedRequest { purpose, request });
     }
 
     /// Takes out a request of a user, the last one, if too many requests wait: only
     /// users' requests come in such numbers.
-    pub(super) fn take_excess(&mut self) -> Option<PurposedRequest> {
+    pub(super) fn take_excess(&mut self) -> Option<TrackedRequest> {
         let max_queue = (self.service_rps * MAX_QUEUE_S) as usize;
         if self.queue.len() <= max_queue {
             return None;
         }
         let position = self.queue.iter().rposition(|queued| queued.purpose.is_for_user())?;
         let QueuedRequest { purpose, request, .. } = self.queue.remove(position)?;
-        Some(PurposedRequest { purpose, request })
+        Some(TrackedRequest { purpose, request })
     }
 
     /// Takes out the request that this reply answers, if it still matters.
-    pub(super) fn take_answered(&mut self, now: Millis, call: u64, reply: &StoreReply) -> Option<PurposedRequest> {
+    pub(super) fn take_answered(&mut self, now: Millis, call: u64, reply: &StoreReply) -> Option<TrackedRequest> {
         let answered = self.in_flight.remove(&call)?;
         match reply {
             StoreReply::Unavailable | StoreReply::Unanswered => self.last_failure_at = Some(now),
@@ -177,9 +177,9 @@
     }
 
     /// Drops all requests that mean something only within the term that ends.
-    pub(super) fn forget_term(&mut self) {
-        self.in_flight.retain(|_, sent| !sent.purpose.is_of_one_term());
-        self.queue.retain(|queued| !queued.purpose.is_of_one_term());
+    pub(super) fn discard_term_requests(&mut self) {
+        self.in_flight.retain(|_, sent| !sent.purpose.is_bound_to_term());
+        self.queue.retain(|queued| !queued.purpose.is_bound_to_term());
     }
 
     /// Whether the service answered lately.
--- a/src/controller/store_purpose.rs
+++ b/src/controller/store_purpose.rs
@@ -9,14 +9,14 @@
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
     /// A lease to claim the shard with.
-    Grant,
+    GrantLease,
     /// The claim, or a higher term.
     Claim {
         transaction: Arc<Transaction>,
         sent: Millis,
     },
     /// The lease's renewal.
-    Renew { sent: Millis },
+    RenewLease { sent: Millis },
     /// After a claim that conflicted: is it ours?
     CheckClaim,
     /// A full read of the watched keys.
@@ -24,7 +24,7 @@
     /// Waits for changes of the watched keys.
     Watch,
     /// Brings the watch cache up to date.
-    Refresh {
+    RefreshWatchCache {
         /// The number of admission's confirming read, if it asked for this one.
         admission_read: Option<u64>,
         sent: Millis,
@@ -36,11 +36,11 @@
     /// Whether the transaction in flight was carried out.
     CheckCommit(commits::Evidence),
     /// How a job ended, for this operation of admission.
-    ReadEnd(u64),
+    ReadJobEnd(u64),
     /// A user's submission or cancellation, for this operation of admission.
-    Write(u64),
+    UserWrite(u64),
     /// Stores the catalogue.
-    Catalogue,
+    WriteCatalogue,
     /// Removes the own claim.
     Resign,
 }
@@ -60,14 +60,14 @@
 
 impl Purpose {
     /// Whether requests of this kind mean something only within one term.
-    pub(super) fn is_of_one_term(&self) -> bool {
+    pub(super) fn is_bound_to_term(&self) -> bool {
         matches!(
             self,
             Purpose::Load(_)
                 | Purpose::Commit
                 | Purpose::CheckCommit(_)
                 | Purpose::CheckClaim
-                | Purpose::Renew { .. }
+                | Purpose::RenewLease { .. }
                 | Purpose::Claim { .. }
         )
     }
@@ -77,23 +77,23 @@
     pub(super) fn is_urgent(&self) -> bool {
         matches!(
             self,
-            Purpose::Grant
+            Purpose::GrantLease
                 | Purpose::Claim { .. }
-                | Purpose::Renew { .. }
+                | Purpose::RenewLease { .. }
                 | Purpose::CheckClaim
                 | Purpose::Resign
                 // One a second, on which acting depends.
-                | Purpose::Refresh { admission_read: None, .. }
+                | Purpose::RefreshWatchCache { admission_read: None, .. }
         )
     }
 
     /// Whether a user waits for this write.
-    pub(super) fn is_users_write(&self) -> bool {
-        matches!(self, Purpose::Write(_))
+    pub(super) fn is_user_write(&self) -> bool {
+        matches!(self, Purpose::UserWrite(_))
     }
 
     /// Whether a user waits for this request, so that it may be refused.
     pub(super) fn is_for_user(&self) -> bool {
-        matches!(self, Purpose::ReadEnd(_) | Purpose::Write(_))
+        matches!(self, Purpose::ReadJobEnd(_) | Purpose::UserWrite(_))
     }
 }
--- a/src/controller/store_rates.rs
+++ b/src/controller/store_rates.rs
@@ -30,7 +30,7 @@
 };
 /// In a wave of submissions: what is being started, ended and cleaned up can follow,
 /// while users count the milliseconds.
-pub(super) const LEADER_WHILE_USERS_WAIT: RateShares = RateShares {
+pub(super) const LEADER_WITH_QUEUED_USER_WRITES: RateShares = RateShares {
     requests: 0.45,
     writes: 0.3,
     user_writes: 0.45,
--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -106,7 +106,7 @@
     /// The read that brings the watch cache up to date while loading came back.
     /// Whether it did, and the shard knows the jobs.
     fn load_jobs(&mut self, reply: &StoreReply) -> bool {
-        if !self.take_log(reply.clone()) {
+        if !self.apply_watch_log(reply.clone()) {
             return false;
         }
         let Some(shard) = &mut self.shard else {
@@ -138,7 +138,7 @@
     }
 
     /// Loading goes on as long as answers come.
-    pub(super) fn give_up_stalled_loading(&mut self) {
+    pub(super) fn abort_stalled_loading(&mut self) {
         if self.election.phase() == Phase::Loading && self.load_progress.is_stalled(self.now) {
             self.step_down(CLAIM_DELAY_MS);
         }
--- a/src/controller/term_raise.rs
+++ b/src/controller/term_raise.rs
@@ -3,13 +3,13 @@
 use crate::Millis;
 
 /// Raising the term costs a fresh start, so not more often than this.
-const RAISE_EVERY_MS: Millis = 8_000;
+const MIN_RAISE_INTERVAL_MS: Millis = 8_000;
 
 /// The next raise of the term, and the last one.
 #[derive(Debug, Default)]
 pub(super) struct TermRaise {
     /// What is known may be wrong: claim once more and read it all again.
-    wants_reload: bool,
+    is_reload_requested: bool,
     /// The term is about to rise, or rising, while what is known still holds.
     is_pending: bool,
     raised_at: Millis,
@@ -18,7 +18,7 @@
 impl TermRaise {
     /// Asks for a new term in which all is read again.
     pub(super) fn request_reload(&mut self) {
-        self.wants_reload = true;
+        self.is_reload_requested = true;
     }
 
     /// The same, however short ago the term was raised.
@@ -27,8 +27,8 @@
         self.raised_at = 0;
     }
 
-    pub(super) fn wants_reload(&self) -> bool {
-        self.wants_reload
+    pub(super) fn is_reload_requested(&self) -> bool {
+        self.is_reload_requested
     }
 
     /// Whether nothing more may be sent that depends on the present claim.
@@ -38,7 +38,7 @@
 
     /// Whether the last raise is long enough ago.
     pub(super) fn is_allowed(&self, now: Millis) -> bool {
-        now >= self.raised_at + RAISE_EVERY_MS
+        now >= self.raised_at + MIN_RAISE_INTERVAL_MS
     }
 
     /// From now on nothing is sent that depends on the present claim.
@@ -48,15 +48,15 @@
 
     /// The claim succeeded. Whether what was known before still holds.
     pub(super) fn claimed(&mut self, now: Millis) -> bool {
-        let is_known_valid = self.is_pending && !self.wants_reload;
+        let is_state_valid = self.is_pending && !self.is_reload_requested;
         self.cancel();
         self.raised_at = now;
-        is_known_valid
+        is_state_valid
     }
 
     /// Wants no raise any more.
     pub(super) fn cancel(&mut self) {
-        self.wants_reload = false;
+        self.is_reload_requested = false;
         self.is_pending = false;
     }
 }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -42,7 +42,7 @@
         } => Some(*id),
         _ => None,
     });
-    (controller.call(), forward.expect("forwarded to the leader"))
+    (controller.next_call_id(), forward.expect("forwarded to the leader"))
 }
 
 /// A state service that answers a new leader's first pages slowly.
@@ -253,7 +253,7 @@
     let mut controller = Controller::new(settings, Policy::default(), 7);
     let before = controller.store_client.rate_shares(Phase::Active);
     let transaction = Transaction::default();
-    controller.enqueue(Purpose::Write(1), StoreRequest::Transact(transaction.into()));
+    controller.enqueue(Purpose::UserWrite(1), StoreRequest::Transact(transaction.into()));
     let after = controller.store_client.rate_shares(Phase::Active);
     assert!(after.user_writes > 2.0 * before.user_writes && after.writes < before.writes);
     let (all_before, all_after) = (before.writes + before.user_writes, after.writes + after.user_writes);
--- a/src/controller/tests/ends_told.rs
+++ b/src/controller/tests/ends_told.rs
@@ -93,7 +93,7 @@
     fn cancel_through_leader(&mut self) {
         let forwarded = self.ask(CANCELLATION, UserRequest::Cancel(JOB.into()));
         let told = self.peer_answers(&forwarded, "aborted");
-        assert_eq!(standing_told(&told, CANCELLATION).as_deref(), Some("aborted"));
+        assert_eq!(standing_in_answer(&told, CANCELLATION).as_deref(), Some("aborted"));
     }
 
     fn reply(&mut self, call: u64, reply: StoreReply) -> Vec<Output> {
@@ -109,7 +109,7 @@
     })
 }
 
-fn standing_told(outputs: &[Output], asked: u64) -> Option<String> {
+fn standing_in_answer(outputs: &[Output], asked: u64) -> Option<String> {
     let body: serde_json::Value = serde_json::from_str(&answer_to(outputs, asked)?.body).expect("json");
     Some(body["standing"].as_str()?.to_owned())
 }
@@ -155,7 +155,7 @@
     let slow_read = last_store_call(&fixture.poll());
     fixture.cancel_through_leader();
     let told = fixture.reply(slow_read, nothing_changed());
-    assert_eq!(standing_told(&told, POLL).as_deref(), Some("aborted"));
+    assert_eq!(standing_in_answer(&told, POLL).as_deref(), Some("aborted"));
 }
 
 /// The same where the leader was asked in place of the state service.
@@ -165,7 +165,7 @@
     let forwarded = fixture.submit();
     fixture.cancel_through_leader();
     let told = fixture.peer_answers(&forwarded, "running");
-    assert_eq!(standing_told(&told, SUBMISSION).as_deref(), Some("aborted"));
+    assert_eq!(standing_in_answer(&told, SUBMISSION).as_deref(), Some("aborted"));
 }
 
 /// The user hears of the end also where the read itself fails.
@@ -175,7 +175,7 @@
     let read = last_store_call(&fixture.poll());
     fixture.cancel_through_leader();
     let told = fixture.reply(read, StoreReply::Unavailable);
-    assert_eq!(standing_told(&told, POLL).as_deref(), Some("aborted"));
+    assert_eq!(standing_in_answer(&told, POLL).as_deref(), Some("aborted"));
 }
 
 /// A job is accepted between the reads that did not find it and their answer, which
@@ -211,7 +211,7 @@
     let committed = fixture.commit_cancellation();
     assert_eq!(answer_to(&committed, CANCELLATION), None);
     let told = fixture.peer_answers(&committed, "aborted");
-    assert_eq!(standing_told(&told, CANCELLATION).as_deref(), Some("aborted"));
+    assert_eq!(standing_in_answer(&told, CANCELLATION).as_deref(), Some("aborted"));
 }
 
 /// A repeated cancellation may reach a controller that did not confirm the first: while
@@ -226,7 +226,7 @@
     let confirmed = fixture.reply(read, nothing_changed());
     assert_eq!(answer_to(&confirmed, CANCELLATION), None);
     let told = fixture.peer_answers(&confirmed, "aborted");
-    assert_eq!(standing_told(&told, CANCELLATION).as_deref(), Some("aborted"));
+    assert_eq!(standing_in_answer(&told, CANCELLATION).as_deref(), Some("aborted"));
 
     let mut fixture = Fixture::new(page_without_job(), None);
     let read = last_store_call(&fixture.ask(CANCELLATION, UserRequest::Cancel(JOB.into())));
@@ -235,7 +235,7 @@
     let found = fixture.reply(read_of_end, StoreReply::Found { value, version });
     assert_eq!(answer_to(&found, CANCELLATION), None);
     let told = fixture.peer_answers(&found, "aborted");
-    assert_eq!(standing_told(&told, CANCELLATION).as_deref(), Some("aborted"));
+    assert_eq!(standing_in_answer(&told, CANCELLATION).as_deref(), Some("aborted"));
 }
 
 /// A poll is given up after 1.7 s: by then nothing older can be told by a controller that
@@ -247,13 +247,13 @@
         fixture.monotonic += silent_for;
         let committed = fixture.commit_cancellation();
         assert_eq!(answer_to(&committed, CANCELLATION), None);
-        let committed_at = fixture.monotonic;
+        let commit_attempted_at = fixture.monotonic;
         let mut told = Vec::new();
-        while standing_told(&told, CANCELLATION).is_none() && fixture.monotonic < committed_at + 5_000 {
+        while standing_in_answer(&told, CANCELLATION).is_none() && fixture.monotonic < commit_attempted_at + 5_000 {
             told = fixture.step(Input::Tick);
         }
-        assert_eq!(standing_told(&told, CANCELLATION).as_deref(), Some("aborted"));
-        let waited = fixture.monotonic - committed_at;
+        assert_eq!(standing_in_answer(&told, CANCELLATION).as_deref(), Some("aborted"));
+        let waited = fixture.monotonic - commit_attempted_at;
         assert!((1_700..2_000).contains(&waited), "{waited} ms");
     }
 }
--- a/src/controller/watch_state.rs
+++ b/src/controller/watch_state.rs
@@ -4,7 +4,7 @@
 
 /// Without other traffic, a look now and then tells whether the state service can be
 /// reached, and keeps the watch cache fresh.
-const REFRESH_EVERY_MS: Millis = 1_000;
+const REFRESH_INTERVAL_MS: Millis = 1_000;
 
 /// A request of which one at a time is in flight, with a pause in between.
 #[derive(Debug, Default)]
@@ -63,7 +63,7 @@
 
     /// Whether the watch cache was not brought up to date for long.
     pub(super) fn is_refresh_due(&self, now: Millis) -> bool {
-        now >= self.refresh_sent_at + REFRESH_EVERY_MS
+        now >= self.refresh_sent_at + REFRESH_INTERVAL_MS
     }
 
     pub(super) fn refresh_sent(&mut self, now: Millis) {
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -39,13 +39,13 @@
     }
 
     /// Brings the watch cache up to date, for questions of admission too.
-    pub(super) fn confirm_for_admission(&mut self, read: u64) {
+    pub(super) fn refresh_for_admission(&mut self, read: u64) {
         self.send_refresh(Some(read));
     }
 
     fn send_refresh(&mut self, admission_read: Option<u64>) {
         self.watch_state.refresh_sent(self.now);
-        let purpose = Purpose::Refresh {
+        let purpose = Purpose::RefreshWatchCache {
             admission_read,
             sent: self.now,
         };
@@ -62,14 +62,14 @@
     }
 
     pub(super) fn on_watch_reply(&mut self, reply: StoreReply) {
-        let is_up_to_date = self.take_log(reply);
+        let is_up_to_date = self.apply_watch_log(reply);
         let pause = if is_up_to_date { WATCH_PAUSE_MS } else { RETRY_MS };
         self.watch_state.watch_answered(self.now + pause);
     }
 
     /// The refresh sent then came back. Questions of admission may wait for it.
     pub(super) fn on_refreshed(&mut self, admission_read: Option<u64>, sent: Millis, reply: StoreReply) {
-        let is_up_to_date = self.take_log(reply);
+        let is_up_to_date = self.apply_watch_log(reply);
         if is_up_to_date {
             self.watch_cache_read(sent);
         }
@@ -103,7 +103,7 @@
     }
 
     /// Takes in what a watch gave. Whether the watch cache is up to date with it.
-    pub(super) fn take_log(&mut self, reply: StoreReply) -> bool {
+    pub(super) fn apply_watch_log(&mut self, reply: StoreReply) -> bool {
         match reply {
             StoreReply::Log(log) if self.watch_cache.is_complete() => {
                 let changes = self.watch_cache.take_log(&self.keys, log.revision, log.events);
@@ -122,14 +122,14 @@
         for change in changes {
             match change {
                 WatchedChange::Leader => self.leader_changed(),
-                WatchedChange::Catalogue => self.take_stored_catalogue(),
+                WatchedChange::Catalogue => self.apply_stored_catalogue(),
                 WatchedChange::Job(id) => self.job_changed(&id),
                 WatchedChange::JobGone(id) => self.job_removed(id),
             }
         }
     }
 
-    fn take_stored_catalogue(&mut self) {
+    fn apply_stored_catalogue(&mut self) {
         let value = self.watch_cache.catalogue().cloned();
         match value.map(serde_json::from_value::<Catalogue>) {
             Some(Ok(catalogue)) => self.set_catalogue(catalogue),
--- a/src/controller/worker_reports.rs
+++ b/src/controller/worker_reports.rs
@@ -6,7 +6,7 @@
 use crate::workers::{Merged, ReportPath};
 
 /// Reports or replies in one message, so that frames stay small.
-const BATCH: usize = 64;
+const BATCH_SIZE: usize = 64;
 
 impl Controller {
     pub(super) fn on_report(&mut self, request: u64, report: Report) {
@@ -124,7 +124,7 @@
         if items.is_empty() {
             return None;
         }
-        let rest = items.split_off(items.len().min(BATCH));
+        let rest = items.split_off(items.len().min(BATCH_SIZE));
         Some(std::mem::replace(&mut items, rest))
     })
 }
