--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -1,4 +1,5 @@
-//! The leader's claim: taken, renewed, raised to a new term, checked and given up.
+//! The leader's claim on the shard: acquiring, renewing and checking it, raising its term and
+//! giving it up.
 
 use super::store_calls::RETRY_MS;
 use super::{Controller, LoadStage, Purpose, Shard};
@@ -10,12 +11,13 @@
 use crate::wire::{Change, Transaction};
 use std::sync::Arc;
 
-/// Pause before the next claim after one that may yet have succeeded.
+/// Delay before the next claim when the previous one failed or its outcome is unknown.
 const CLAIM_RETRY_MS: Millis = 500;
 
 impl Controller {
-    /// The claim in the watch cache changed. One of a higher term ends ours.
-    pub(super) fn leader_changed(&mut self) {
+    /// Handles a change of the claim in the watch cache: steps down if it has a higher term than
+    /// our own claim.
+    pub(super) fn on_claim_changed(&mut self) {
         let Some((leader, version)) = self.watch_cache.leader() else {
             return;
         };
@@ -25,7 +27,7 @@
         }
     }
 
-    /// Gives up the shard, and claims no sooner than after this delay.
+    /// Gives up the shard. It is not claimed again before `claim_delay` milliseconds have passed.
     pub(super) fn step_down(&mut self, claim_delay: Millis) {
         self.election.step_down(self.now, claim_delay);
         self.shard = None;
@@ -33,15 +35,15 @@
         self.discard_term_state();
     }
 
-    /// Nothing of the term that ends counts: what was in flight under it is void, and
-    /// what it did is read back.
+    /// Discards what is in flight under the ending term. The next leader reads the effects from
+    /// the state service.
     fn discard_term_state(&mut self) {
         self.cloud.clear();
         self.command_delivery.clear();
         self.store_client.discard_term_requests();
     }
 
-    /// The lease was granted: the claim follows.
+    /// Handles the reply to a lease request. A granted lease is followed by the claim.
     pub(super) fn on_lease_granted(&mut self, reply: StoreReply) {
         if self.election.phase() != Phase::RequestingLease {
             return;
@@ -58,14 +60,15 @@
         }
     }
 
+    /// Handles the reply to a claim transaction.
     pub(super) fn on_claim_reply(&mut self, transaction: Arc<Transaction>, sent: Millis, reply: StoreReply) {
         if self.election.phase() != Phase::Claiming {
             return;
         }
         match reply {
-            StoreReply::Committed { revision } => self.claimed(revision),
-            // Perhaps applied: the same again is applied or conflicts, and a
-            // conflict is told apart by reading the claim.
+            StoreReply::Committed { revision } => self.on_claim_committed(revision),
+            // The claim may have been applied. Sending it again either applies it or conflicts;
+            // after a conflict, reading the claim shows whose it is.
             StoreReply::Unanswered | StoreReply::Unavailable if self.now < sent + crate::election::LEASE_MS => {
                 let purpose = Purpose::Claim {
                     transaction: transaction.clone(),
@@ -78,19 +81,19 @@
         }
     }
 
-    /// The claim was carried out.
-    fn claimed(&mut self, version: u64) {
+    /// Starts the new term after the claim was committed.
+    fn on_claim_committed(&mut self, version: u64) {
         self.election.claimed(version);
         self.leader_timers.claimed(self.now);
         let is_state_valid = self.term_raise.claimed(self.now);
         if is_state_valid {
-            self.term_raised();
+            self.on_term_raised();
         } else {
             self.start_loading();
         }
     }
 
-    /// Begins anew with an empty shard, and reads everything.
+    /// Replaces the shard by an empty one and starts to load it from the state service.
     fn start_loading(&mut self) {
         self.load_progress.start(self.now);
         self.leader_timers.note_worker_contact(self.now);
@@ -103,10 +106,10 @@
         self.load_page(LoadStage::Machines, String::new());
     }
 
-    /// The term rose over the own claim, with nothing of the old one in flight to
-    /// the state service: what is known still holds, and only the workers have
-    /// to see the new fencing token.
-    fn term_raised(&mut self) {
+    /// Continues under a higher term that this leader claimed itself. No transaction of the old
+    /// term was in flight, so the shard's state is still valid and only the workers have to
+    /// receive the new fencing token.
+    fn on_term_raised(&mut self) {
         self.election.activate();
         let Some(shard) = &mut self.shard else {
             return;
@@ -122,6 +125,7 @@
         self.placement_rounds.request();
     }
 
+    /// Handles the reply to the lease renewal that was sent at `sent`.
     pub(super) fn on_renew_reply(&mut self, sent: Millis, reply: StoreReply) {
         match reply {
             StoreReply::Renewed => {
@@ -138,10 +142,11 @@
         }
     }
 
-    /// The watch cache holds all that was written before `sent`. After an expiry that is
-    /// what acting again waits for: a cancellation may have come in the meantime,
-    /// and the claim may be another's.
-    pub(super) fn watch_cache_read(&mut self, sent: Millis) {
+    /// Notes that the watch cache includes everything written before `sent`.
+    ///
+    /// After its leadership expired, a leader needs such a read before it acts again: a job may
+    /// have been cancelled and another controller may have claimed the shard in the meantime.
+    pub(super) fn on_watch_cache_read(&mut self, sent: Millis) {
         self.election.watch_cache_read(sent);
         if !self.election.may_resume(self.now, sent) {
             return;
@@ -157,6 +162,7 @@
         }
     }
 
+    /// Handles the read of the claim that follows a conflicting claim transaction.
     pub(super) fn on_claim_checked(&mut self, reply: StoreReply) {
         if self.election.phase() != Phase::Claiming {
             return;
@@ -165,7 +171,7 @@
             StoreReply::Found { value, version } => {
                 let leader = serde_json::from_value(value);
                 if leader.is_ok_and(|leader| self.election.is_current_claim(&leader)) {
-                    self.claimed(version);
+                    self.on_claim_committed(version);
                 } else {
                     self.step_down(0);
                 }
@@ -175,8 +181,9 @@
         }
     }
 
-    /// A transaction conflicted: if the claim was among the reasons, it is gone.
-    /// Unless the transaction was older than our present claim.
+    /// Steps down if a transaction conflicted on the claim. Returns whether it did.
+    ///
+    /// A transaction that was built under an earlier version of the claim is ignored.
     pub(super) fn detect_lost_claim(&mut self, request: &StoreRequest, failed: &[String]) -> bool {
         let condition = self.election.condition(&self.keys);
         let is_current =
@@ -189,12 +196,13 @@
         is_lost
     }
 
-    /// Whether no other controller and no worker was heard for long.
+    /// Whether neither another controller nor a worker has been heard within the isolation
+    /// timeout.
     pub(super) fn is_isolated(&self) -> bool {
         !self.peers.is_alone() && self.leader_timers.is_isolated(self.now, self.peers.last_heard_at())
     }
 
-    /// Removes the own claim, for another controller to take the shard.
+    /// Steps down and deletes the claim, so that another controller can claim the shard.
     pub(super) fn resign(&mut self, claim_delay: Millis) {
         let transaction = Transaction {
             conditions: vec![self.election.condition(&self.keys)],
@@ -213,18 +221,19 @@
         self.enqueue(purpose, StoreRequest::Transact(transaction));
     }
 
-    /// Starts a new term over the own claim where one is called for.
+    /// Claims the shard again under a higher term, if that is needed and possible now. Returns
+    /// whether the claim was sent.
     pub(super) fn raise_term(&mut self) -> bool {
         let Some(shard) = &mut self.shard else {
             return false;
         };
         let is_reload_requested = self.term_raise.is_reload_requested();
         let is_needed = is_reload_requested || shard.workers.needs_higher_term;
-        // Claiming gives up the lease extension, and can't succeed in an outage.
+        // A new claim ends the lease extension, and cannot succeed during an outage.
         if !is_needed || !self.election.is_lease_valid(self.now) || !self.term_raise.is_allowed(self.now) {
             return false;
         }
-        // What is in flight depends on the claim as it is.
+        // A transaction in flight depends on the current version of the claim.
         self.term_raise.begin();
         if !is_reload_requested && shard.pending_writes.is_in_flight() {
             return false;
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -1,4 +1,4 @@
-//! The leader's calls to the cloud: catalogue, machine requests, deletions, lists.
+//! The leader's calls to the cloud: catalogue, machine requests, deletions and machine lists.
 
 use super::shard::Shard;
 use super::{CloudReply, CloudRequest, Controller, Output, Purpose};
@@ -12,17 +12,17 @@
 
 const CATALOGUE_INTERVAL_MS: Millis = 60_000;
 const RETRY_MS: Millis = 1_000;
-/// How long an offer that was refused or cut short is left alone.
+/// How long an offer is not requested again after the cloud provided fewer machines than requested.
 const REFUSED_OFFER_BACKOFF_MS: Millis = 15_000;
-/// Machines that one call deletes.
+/// The largest number of machines that one call deletes.
 const MAX_DELETED_PER_CALL: usize = 100;
 
-/// What a call to the cloud was made for, so that its reply can be acted on.
+/// The purpose of a call to the cloud, which determines how its reply is handled.
 #[derive(Debug)]
 enum CloudPurpose {
     /// Reads the machine types and their prices.
     ReadCatalogue,
-    /// Asks for the machines of the request of this name.
+    /// Sends the machine request of this name.
     RequestMachines { request: String },
     /// Deletes these machines.
     DeleteMachines { machines: Vec<String> },
@@ -30,18 +30,18 @@
     ListMachines,
 }
 
-/// The calls to the cloud that are in flight, within the limit on their rate.
+/// The calls to the cloud that are in flight, and the rate limit for new ones.
 #[derive(Debug)]
 pub struct CloudCalls {
     rate: TokenBucket,
     in_flight: BTreeMap<u64, CloudPurpose>,
     catalogue_due: Millis,
-    /// The last machine of the page before; empty at the beginning of a list.
+    /// The last machine of the previous page; empty before the first page of a list.
     list_after: String,
 }
 
 impl CloudCalls {
-    /// No calls yet, at no more than `rps` calls a second.
+    /// Creates the state without any calls, limited to `rps` calls per second.
     pub fn new(rps: f64) -> CloudCalls {
         CloudCalls {
             rate: TokenBucket::new(rps),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Leaves the replies to the calls in flight unread: another leader takes over.
+    /// Discards the calls in flight at the end of a term, so that their replies are ignored.
     pub fn clear(&mut self) {
         self.in_flight.clear();
         self.list_after.clear();
@@ -59,6 +59,7 @@
 }
 
 impl Controller {
+    /// Sends a request to the cloud and counts it against the rate limit.
     fn call_cloud(&mut self, purpose: CloudPurpose, request: CloudRequest) {
         let call = self.next_call_id();
         self.cloud.rate.spend(1.0);
@@ -66,7 +67,7 @@
         self.outputs.push(Output::Cloud { call, request });
     }
 
-    /// Makes the calls that are due, as far as the limit on their rate allows.
+    /// Sends the calls that are due, within the rate limit.
     pub(super) fn advance_cloud(&mut self) {
         self.read_catalogue();
         self.request_machines();
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Has the cloud delete the decommissioned machines, one batch at a time.
+    /// Requests the deletion of decommissioned machines, one batch at a time.
     pub(super) fn delete_decommissioned(&mut self) {
         let Some(shard) = &mut self.shard else {
             return;
@@ -136,7 +137,7 @@
         self.call_cloud(CloudPurpose::DeleteMachines { machines }, CloudRequest::Delete(request));
     }
 
-    /// Acts on the reply to a call, or schedules the call again.
+    /// Handles the reply to a call, or schedules the call again if it failed.
     pub(super) fn on_cloud_reply(&mut self, call: u64, reply: CloudReply) {
         let Some(purpose) = self.cloud.in_flight.remove(&call) else {
             return;
@@ -155,7 +156,8 @@
         }
     }
 
-    /// A call failed, or went unanswered and may yet be carried out.
+    /// Schedules the retry of a call that failed or went unanswered. An unanswered call may still
+    /// be executed.
     fn retry_cloud_call(&mut self, purpose: &CloudPurpose) {
         let retry_at = self.now + RETRY_MS;
         let fleet = self.shard.as_mut().map(|shard| &mut shard.fleet);
@@ -166,7 +168,7 @@
             }
             (CloudPurpose::DeleteMachines { .. }, Some(fleet)) => fleet.deletion.finish(retry_at),
             (CloudPurpose::ListMachines, Some(fleet)) => {
-                // From its beginning, which has time.
+                // Restart the list from its first page at the next regular time.
                 self.cloud.list_after.clear();
                 fleet.listing.finish(self.now + LIST_EVERY_MS);
             }
@@ -174,8 +176,8 @@
         }
     }
 
-    /// Keeps the catalogue in the state service, so that a restart while the cloud is out
-    /// of reach can still decide on submissions.
+    /// Stores a changed catalogue in the state service, so that a controller that restarts while
+    /// the cloud is unreachable can still decide on submissions.
     fn catalogue_read(&mut self, catalogue: Catalogue) {
         let value = json!(catalogue);
         let stored = self.watch_cache.catalogue();
@@ -189,7 +191,7 @@
         self.set_catalogue(catalogue);
     }
 
-    /// The request is answered for good, though perhaps with fewer machines than asked for.
+    /// Completes a machine request, possibly with fewer machines than requested.
     fn machines_provisioned(&mut self, request: &str, machines: &[String]) {
         let now = self.now;
         let Some(shard) = &mut self.shard else {
@@ -221,6 +223,7 @@
         });
     }
 
+    /// Removes deleted machines from the shard.
     fn machines_deleted(&mut self, machines: &[String]) {
         let Some(shard) = &mut self.shard else {
             return;
@@ -230,7 +233,7 @@
         self.placement_rounds.request();
     }
 
-    /// One page of the list; the next one follows at once.
+    /// Merges one page of the machine list. The next page, if any, is due immediately.
     fn machines_listed(&mut self, list: &MachineList) {
         let now = self.now;
         let Some(shard) = &mut self.shard else {
@@ -250,7 +253,7 @@
     }
 }
 
-/// Adds the machines that a request brought, but for those known or already deleted.
+/// Adds the machines that were provisioned for a request, except those already known or deleted.
 fn add_provisioned(shard: &mut Shard, now: Millis, record: &MachineRequestRecord, machines: &[String]) {
     for name in machines {
         if shard.workers.machines.find(name).is_none() && !shard.workers.tombstones.contains_key(name) {
--- a/src/controller/command_delivery.rs
+++ b/src/controller/command_delivery.rs
@@ -1,23 +1,24 @@
-//! The leader's direct commands in flight.
+//! Bookkeeping of the leader's direct commands in flight.
 
 use crate::Millis;
 use std::collections::BTreeMap;
 
-/// Longer than any call to a worker takes.
+/// After this time a delivery counts as unanswered. Longer than any call to a worker takes.
 const TIMEOUT_MS: Millis = 5_000;
-/// Commands that come up close together go out together.
+/// Minimum interval between deliveries, so that commands that become due close together are sent
+/// together.
 const DELIVERY_INTERVAL_MS: Millis = 50;
 
-/// Direct commands to a machine, under a term.
+/// Direct commands in flight to one machine.
 #[derive(Clone, Debug)]
 pub(super) struct DirectCall {
-    /// By name: the index may be another machine's by the time of the reply.
+    /// The machine's name. Its index may belong to another machine by the time of the reply.
     pub(super) machine: String,
     pub(super) term: u64,
     pub(super) sent_at: Millis,
 }
 
-/// Direct commands in flight, and when the last were sent.
+/// The direct commands in flight and the time of the last delivery.
 #[derive(Debug, Default)]
 pub(super) struct CommandDelivery {
     in_flight: BTreeMap<u64, DirectCall>,
@@ -25,7 +26,7 @@
 }
 
 impl CommandDelivery {
-    /// Whether to send what machines are due, which then counts as sent.
+    /// Returns whether a delivery is due, and if so marks it as done.
     pub(super) fn take_due(&mut self, now: Millis) -> bool {
         let due = now >= self.delivered_at + DELIVERY_INTERVAL_MS;
         if due {
@@ -34,28 +35,29 @@
         due
     }
 
-    /// How many commands may be sent now, if at most so many are to be in flight.
+    /// The number of deliveries that may be started while at most `max_in_flight` are in flight.
     pub(super) fn available(&self, max_in_flight: usize) -> usize {
         max_in_flight.saturating_sub(self.in_flight.len())
     }
 
+    /// Registers direct commands as in flight.
     pub(super) fn sent(&mut self, call: u64, direct_call: DirectCall) {
         self.in_flight.insert(call, direct_call);
     }
 
-    /// Takes out the call that a reply answers, if it still matters.
+    /// Removes and returns the call that a reply belongs to. `None` if it is not in flight.
     pub(super) fn take(&mut self, call: u64) -> Option<DirectCall> {
         self.in_flight.remove(&call)
     }
 
-    /// Calls without a reply for too long.
+    /// Returns the call ids that have had no reply within the timeout.
     pub(super) fn expired(&self, now: Millis) -> Vec<u64> {
         let expired = self.in_flight.iter();
         let expired = expired.filter(|(_, direct_call)| now > direct_call.sent_at + TIMEOUT_MS);
         expired.map(|(&call, _)| call).collect()
     }
 
-    /// Forgets all: the term ends.
+    /// Discards all calls in flight at the end of a term.
     pub(super) fn clear(&mut self) {
         self.in_flight.clear();
     }
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -1,8 +1,8 @@
-//! The leader's transactions: one in flight at a time, and what became of it.
+//! The leader's transactions and their outcomes. One transaction is in flight at a time.
 //!
-//! A transaction without an answer is sent again as it is. If a later copy conflicts,
-//! an earlier one may have been applied: a read of one key that it writes tells, so
-//! that not everything has to be read again.
+//! An unanswered transaction is sent again unchanged. If a later copy conflicts, an earlier copy
+//! may have been applied. Reading one of the keys that the transaction writes resolves this
+//! without reloading the whole shard.
 
 mod evidence;
 
@@ -14,7 +14,7 @@
 use evidence::CommitOutcome;
 
 impl Controller {
-    /// Writes what is due in one transaction, if none is in flight.
+    /// Sends the pending changes in one transaction if none is in flight.
     pub(super) fn commit(&mut self) {
         if !self.may_commit() {
             return;
@@ -22,18 +22,18 @@
         self.leader_timers.commit_attempted(self.now);
         let claim = self.election.condition(&self.keys);
         let max_changes = self.settings.params.state.txn_ops as usize;
-        let spare_changes = self.store_client.write_allowance(self.now).max(1);
+        let max_deferrable_changes = self.store_client.write_allowance(self.now).max(1);
         let Some(shard) = &mut self.shard else {
             return;
         };
-        let transaction = shard.next_transaction(self.now, &self.keys, claim, max_changes, spare_changes);
+        let transaction = shard.next_transaction(self.now, &self.keys, claim, max_changes, max_deferrable_changes);
         if let Some(transaction) = transaction {
             self.enqueue(Purpose::Commit, StoreRequest::Transact(transaction));
         }
     }
 
-    /// Whether it is time for the next transaction, none is in flight, and the rates of
-    /// the service allow it.
+    /// Whether the next transaction is due, none is in flight, and the rate limits of the state
+    /// service allow one.
     fn may_commit(&mut self) -> bool {
         let shard = self.shard.as_ref();
         let is_urgent = shard.is_some_and(|shard| shard.starts_wait());
@@ -42,7 +42,7 @@
         is_due && !is_in_flight && !self.term_raise.is_pending() && self.store_client.may_commit(self.now)
     }
 
-    /// The state service answered the transaction in flight, or did not in time.
+    /// Handles the reply to the transaction in flight, or its timeout.
     pub(super) fn on_commit_reply(&mut self, request: &StoreRequest, reply: StoreReply) {
         match reply {
             StoreReply::Committed { revision } => self.commit_applied(revision),
@@ -67,7 +67,7 @@
         self.placement_rounds.request();
     }
 
-    /// The last copy may have been applied, or may yet be.
+    /// Records that the last copy sent may have been applied or may still be applied.
     fn note_unanswered_commit(&mut self) {
         let shard = self.shard.as_mut();
         if let Some(in_flight) = shard.and_then(|shard| shard.pending_writes.in_flight_mut()) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Sends the same transaction once more.
+    /// Sends the transaction in flight again, unchanged, after a delay.
     fn retry_commit(&mut self) {
         let shard = self.shard.as_ref();
         let Some(in_flight) = shard.and_then(|shard| shard.pending_writes.in_flight()) else {
@@ -85,7 +85,8 @@
         self.enqueue_after(RETRY_MS, Purpose::Commit, request);
     }
 
-    /// Keys did not have the versions that the transaction requires.
+    /// Handles a conflict: the keys in `failed` did not have the versions that the transaction
+    /// requires.
     fn commit_conflicted(&mut self, request: &StoreRequest, failed: &[String]) {
         if self.detect_lost_claim(request, failed) {
             return;
@@ -107,9 +108,10 @@
         }
     }
 
-    /// The key was read that tells whether an earlier copy was applied, after the last
-    /// one conflicted. That conflict is for good, since versions only rise: a copy not
-    /// applied by now never will be.
+    /// Handles the read of the evidence key after the last copy conflicted.
+    ///
+    /// Versions only increase, so that conflict is permanent: a copy that has not been applied by
+    /// now never will be.
     pub(super) fn on_commit_checked(&mut self, evidence: Evidence, reply: &StoreReply) {
         if matches!(reply, StoreReply::Unanswered | StoreReply::Unavailable) {
             let request = StoreRequest::Get(evidence.key.clone());
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Surely not applied, as these keys are not what they were thought to be.
+    /// Handles a transaction that was certainly not applied, because of the keys in `failed`.
     fn commit_refused(&mut self, failed: &[String]) {
         let (jobs, ends) = (self.keys.jobs(), self.keys.ends());
         let is_user_key = |key: &String| key.starts_with(&jobs) || key.starts_with(&ends);
@@ -136,7 +138,9 @@
         }
     }
 
-    /// A cancel was faster. The watch cache will say so.
+    /// Returns the changes to the pending writes after a concurrent user write, such as a
+    /// cancellation, prevented the transaction, and refreshes the watch cache to learn of that
+    /// write.
     fn commit_not_applied(&mut self) {
         if let Some(shard) = &mut self.shard {
             shard.not_applied();
@@ -144,7 +148,8 @@
         self.refresh_watch_cache();
     }
 
-    /// What is written is not what was thought: all of it is read again under a new term.
+    /// Requests a reload of the shard under a new term, since the stored state differs from the
+    /// expected one.
     fn reload_after_conflict(&mut self) {
         tracing::warn!("reloading the shard");
         if let Some(shard) = &mut self.shard {
--- a/src/controller/commits/evidence.rs
+++ b/src/controller/commits/evidence.rs
@@ -1,21 +1,21 @@
-//! Tells by one key whether a transaction that went unanswered was applied.
+//! Determines from a single key whether an unanswered transaction was applied.
 
 use crate::store::StoreReply;
 use crate::wire::{Change, Transaction};
 use serde_json::Value;
 
-/// A key by which a transaction that was applied can be told.
+/// A key whose current value and version show whether a transaction was applied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Evidence {
     /// The key's name.
     pub key: String,
-    /// The version that the transaction requires of it.
+    /// The version of the key that the transaction requires.
     pub(super) expected_version: u64,
-    /// What the transaction writes there; `None` if it removes the key.
+    /// The value that the transaction writes; `None` if it deletes the key.
     value: Option<Value>,
 }
 
-/// What the evidence says of a transaction that conflicted.
+/// Whether a conflicting transaction was applied by an earlier copy, as far as the evidence shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CommitOutcome {
     Applied { revision: u64 },
@@ -24,9 +24,11 @@
 }
 
 impl Evidence {
-    /// A key that nobody but the leader changes: users cancel jobs, so the keys below
-    /// `jobs` prove nothing. One that is written rather than removed, where there is
-    /// any, since only that tells the revision.
+    /// Selects a key of the transaction that only the leader changes.
+    ///
+    /// Keys with the prefix `jobs` are excluded, because cancellations by users change them too.
+    /// A key that is put is preferred over one that is deleted, since only a put shows the
+    /// revision of the transaction.
     pub(super) fn of(transaction: &Transaction, jobs: &str) -> Option<Evidence> {
         let evidence = transaction
             .changes
@@ -50,13 +52,13 @@
         })
     }
 
-    /// What follows from the state in which the key was found after the conflict.
+    /// Derives the outcome from a read of the key that was made after the conflict.
     pub(super) fn outcome(&self, reply: &StoreReply) -> CommitOutcome {
         match (reply, &self.value) {
             (StoreReply::Found { version, .. }, _) if *version == self.expected_version => CommitOutcome::NotApplied,
             (StoreReply::Missing, Some(_)) if self.expected_version == 0 => CommitOutcome::NotApplied,
-            // Nobody else removes it, and without anything written the revision
-            // is of no use.
+            // Only the leader deletes this key. The transaction puts no key that could be
+            // evidence, so its revision is not needed.
             (StoreReply::Missing, None) => CommitOutcome::Applied { revision: 0 },
             (StoreReply::Found { value, version }, Some(written)) if value == written => {
                 CommitOutcome::Applied { revision: *version }
@@ -66,6 +68,7 @@
     }
 }
 
+/// Returns the key that a change puts or deletes.
 fn changed_key(change: &Change) -> &str {
     match change {
         Change::Put { put, .. } => put,
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -1,5 +1,6 @@
-//! Commands that the leader sends straight to workers, mostly through the peer that a
-//! worker reports to, and what came of them.
+//! Commands that the leader sends to workers outside their report cycle, and their outcomes.
+//!
+//! Most are delivered by the peer that relays the worker's reports.
 
 use super::command_delivery::DirectCall;
 use super::{Controller, Output, SHARD, Shard, WorkerReply};
@@ -10,13 +11,13 @@
 use crate::workers::ReportPath;
 use std::collections::BTreeMap;
 
-/// Pause before a machine is asked again after commands that failed.
+/// Delay before commands are sent to a machine again after a failed delivery.
 const RETRY_MS: Millis = 2_000;
 
-/// Commands that a machine is due.
+/// Commands that are due to be sent to one machine.
 struct DueCommands {
     name: String,
-    /// The peer that relayed its last report.
+    /// The peer that relayed the machine's last report.
     relayed_by: Option<String>,
     address: String,
     agent_epoch: u64,
@@ -24,13 +25,13 @@
 }
 
 impl Controller {
-    /// Direct commands in flight at once: half of what all other controllers would
-    /// hold, so that one of them has room for more than its part.
+    /// The largest number of direct commands in flight at once: half of the combined capacity of
+    /// all reachable peers, so that a single peer can take more than its even share.
     fn max_deliveries(&self) -> usize {
         self.connections.in_flight * self.peers.count_in_reach(self.now).div_ceil(2).max(1)
     }
 
-    /// Sends what machines are due, if it is time.
+    /// Sends the commands that are due, if the delivery interval has passed.
     pub(super) fn deliver_commands(&mut self) {
         if !self.command_delivery.take_due(self.now) {
             return;
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Notes the commands as in flight, under a call of their own.
+    /// Registers the commands as in flight under a new call id.
     fn start_delivery(&mut self, due: DueCommands) -> AddressedCommands {
         let term = self.election.term();
         let direct_call = DirectCall {
@@ -84,28 +85,30 @@
         }
     }
 
-    /// The peer to hand commands to: the one that the worker reports to, or any.
+    /// Selects the peer that delivers the commands: the one that the worker reports to if it is
+    /// reachable, otherwise any reachable peer.
     fn delivery_peer(&mut self, relayed_by: Option<String>) -> Option<String> {
         relayed_by
             .filter(|node| self.peers.is_in_reach(self.now, node))
             .or_else(|| self.peers.next_in_reach(self.now))
     }
 
-    /// What a peer holds for too long counts as lost: it may still arrive.
+    /// Treats deliveries without a reply within the timeout as unanswered. Their commands may
+    /// still arrive.
     pub(super) fn expire_deliveries(&mut self) {
         for call in self.command_delivery.expired(self.now) {
             self.on_delivery_reply(call, WorkerReply::Unanswered);
         }
     }
 
-    /// A worker's answer to direct commands, our own or those held for a leader.
+    /// Handles a worker's reply to direct commands, whether sent as the leader or on behalf of it.
     pub(super) fn on_worker_reply(&mut self, call: u64, reply: WorkerReply) {
         if let Some(reply) = self.delegated_commands.replied(call, reply) {
             self.on_delivery_reply(call, reply);
         }
     }
 
-    /// A worker's answer to our own direct commands.
+    /// Handles the reply to direct commands that this controller issued as the leader.
     pub(super) fn on_delivery_reply(&mut self, call: u64, reply: WorkerReply) {
         let Some(direct_call) = self.command_delivery.take(call) else {
             return;
@@ -121,7 +124,8 @@
 }
 
 impl Shard {
-    /// What the reply to direct commands says of the machine, beside its report.
+    /// Updates a machine's delivery state from the reply. The report in the reply is merged
+    /// separately.
     fn delivery_ended(&mut self, now: Millis, direct_call: &DirectCall, reply: &WorkerReply) {
         let Some(ix) = self.workers.machines.find(&direct_call.machine) else {
             return;
@@ -135,8 +139,8 @@
         }
         if matches!(reply, WorkerReply::Unanswered | WorkerReply::NotDelivered) {
             machine.delivery.not_before = now + RETRY_MS;
-            // Asked once more: it may be the way there that failed. After
-            // that it will report or fall silent, so there is no hurry.
+            // Retry once, since the route may have failed rather than the machine. After that
+            // the machine either reports or becomes silent, so further retries are not urgent.
             let is_first_failure = !std::mem::replace(&mut machine.has_unanswered_command, true);
             if is_first_failure || machine.heard_at.is_none() {
                 machine.relayed_by = None;
@@ -145,8 +149,8 @@
         }
     }
 
-    /// Commands for at most so many machines, those with open attempts first: they
-    /// hold up work, the others can wait.
+    /// Collects commands for at most `max_machines` machines. Machines with open attempts come
+    /// first, since their work is waiting.
     fn due_commands(&mut self, now: Millis, mut max_machines: usize) -> Vec<DueCommands> {
         let mut machines: Vec<MachineIx> = self.workers.delivery_due.iter().copied().collect();
         machines.sort_by_key(|&ix| {
@@ -168,7 +172,7 @@
         all_due
     }
 
-    /// What a machine is due now, which then counts as sent.
+    /// Returns the commands that are due for a machine and marks them as in flight.
     fn due_commands_of(&mut self, now: Millis, ix: MachineIx) -> Option<DueCommands> {
         let Some(machine) = self.workers.machines.get(ix).filter(|machine| !machine.decommissioned) else {
             self.workers.delivery_due.remove(&ix);
--- a/src/controller/id_sequence.rs
+++ b/src/controller/id_sequence.rs
@@ -1,25 +1,25 @@
-//! Numbers for requests, by which their replies are told apart.
+//! Ids that match replies to requests.
 
-/// Rising numbers that no other incarnation of this controller uses.
+/// A sequence of increasing ids that no other incarnation of this controller uses.
 #[derive(Debug)]
 pub(super) struct IdSequence {
     last: u64,
 }
 
 impl IdSequence {
-    /// Numbers far from those of other incarnations: a peer may still answer what a
-    /// former incarnation of this process asked.
+    /// Starts a sequence far from those of other incarnations, since a peer may still answer
+    /// requests of an earlier incarnation of this process.
     pub(super) fn for_incarnation(incarnation: u64) -> IdSequence {
         IdSequence { last: incarnation >> 1 }
     }
 
-    /// A new number.
+    /// Returns a new id.
     pub(super) fn next(&mut self) -> u64 {
         self.last += 1;
         self.last
     }
 
-    /// The number last given.
+    /// The id that was returned last.
     pub(super) fn last(&self) -> u64 {
         self.last
     }
--- a/src/controller/input.rs
+++ b/src/controller/input.rs
@@ -1,60 +1,60 @@
-//! What can happen to a controller.
+//! The inputs of the controller state machine.
 
 use super::CloudReply;
 use crate::peers::{Message, UserRequest, WorkerReply};
 use crate::store::StoreReply;
 use crate::wire::Report;
 
-/// One thing that happened, for [`super::Controller::step`].
+/// One event for [`super::Controller::step`] to handle.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed.
+    /// Time has passed. Sent regularly by the runtime.
     Tick,
-    /// A user asks something.
+    /// A user sent a request.
     User {
-        /// For the answer.
+        /// Identifies the request; its answer carries the same number.
         request: u64,
-        /// What is asked.
+        /// The operation that the user requests.
         user_request: UserRequest,
     },
-    /// Somebody asks whether this controller is healthy.
+    /// A health check arrived.
     Health {
-        /// For the answer.
+        /// Identifies the request; its answer carries the same number.
         request: u64,
     },
-    /// A worker reports.
+    /// A worker sent a report.
     Report {
-        /// For the answer.
+        /// Identifies the request; its answer carries the same number.
         request: u64,
-        /// Its report.
+        /// The worker's report of its machine and tasks.
         report: Box<Report>,
     },
     /// Another controller sent a message.
     Peer {
-        /// The message.
+        /// The decoded message.
         message: Box<Message>,
-        /// The sender.
+        /// The name of the controller that sent it.
         node: String,
     },
-    /// A request to the state service ended.
+    /// A request to the state service was answered, failed or timed out.
     Store {
-        /// That of the request.
+        /// The call id of the request, from [`super::Output::Store`].
         call: u64,
-        /// Its outcome.
+        /// The outcome of the request.
         reply: StoreReply,
     },
-    /// A request to the cloud ended.
+    /// A request to the cloud was answered, failed or timed out.
     Cloud {
-        /// That of the request.
+        /// The call id of the request, from [`super::Output::Cloud`].
         call: u64,
-        /// Its outcome.
+        /// The outcome of the request.
         reply: CloudReply,
     },
-    /// Direct commands to a worker ended.
+    /// Direct commands to a worker were answered, failed or timed out.
     Worker {
-        /// That of the commands.
+        /// The call id of the commands, from [`super::Output::Worker`].
         call: u64,
-        /// Their outcome.
+        /// The outcome of the commands.
         reply: WorkerReply,
     },
 }
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -1,5 +1,6 @@
-//! What the leader does with every input: maintenance, placement, and the reports of
-//! workers. Its claim, take-over, transactions and commands have modules of their own.
+//! The leader's work after each input: maintenance, placement and merging worker reports.
+//!
+//! Claims, takeover, transactions and direct commands are in modules of their own.
 
 use super::{Controller, SHARD, Shard};
 use crate::Millis;
@@ -8,14 +9,16 @@
 use crate::wire::{Report, ReportAnswer};
 use crate::workers::{Merged, ReportPath};
 
-/// Jobs whose counts are told, so that the message stays well within a frame.
+/// The largest number of jobs in one task counts message, so that it stays well below the frame
+/// size limit.
 const MAX_TASK_COUNTS: usize = 20_000;
-/// Pause before a claim after resigning: others go first.
+/// Delay before claiming again after resigning, so that other controllers can claim first.
 const RESIGNED_CLAIM_DELAY_MS: Millis = 6_000;
-/// The same after a worker has seen a higher fencing token.
+/// Delay before claiming again after a worker reported a higher fencing token.
 const OUTRANKED_CLAIM_DELAY_MS: Millis = 1_000;
 
 impl Controller {
+    /// Performs the leader's work that is due, or resigns if the leader is isolated.
     pub(super) fn advance_leader(&mut self) {
         if !self.leads() || self.shard.is_none() {
             self.abort_stalled_loading();
@@ -24,7 +27,7 @@
         if self.is_isolated() {
             tracing::warn!(
                 term = self.election.term(),
-                "resigned: no controller and no worker in reach"
+                "resigned: no controller and no worker is reachable"
             );
             self.resign(RESIGNED_CLAIM_DELAY_MS);
             return;
@@ -40,7 +43,7 @@
         self.send_task_counts();
     }
 
-    /// What time alone has changed.
+    /// Applies the effects of elapsed time: expired attempts, drains, scaling and deletions.
     fn maintain(&mut self) {
         let Some(shard) = &mut self.shard else {
             return;
@@ -59,7 +62,7 @@
         }
     }
 
-    /// A round of placement, if one is due.
+    /// Runs a placement round if one is due.
     fn place(&mut self) {
         let Some(shard) = &mut self.shard else {
             return;
@@ -72,14 +75,14 @@
             return;
         }
         shard.place(self.now);
-        // On a lease extension alone nothing can be written, and so nothing started in
-        // place of what would be stopped.
+        // While only a lease extension is valid, nothing can be written, so no task could be
+        // started in place of a preempted one.
         if self.election.is_lease_valid(self.now) {
             shard.preempt(self.now);
         }
     }
 
-    /// Merges a report as the leader. `None`: it was not the leader's to take.
+    /// Merges a worker report. Returns `None` if this controller is not the acting leader.
     pub(super) fn merge_worker_report(&mut self, report: &Report, path: ReportPath) -> Option<Merged> {
         let now = self.now;
         if !self.election.is_acting_leader(now) {
@@ -98,7 +101,7 @@
                 }
             }
             Merged::Outranked => {
-                // Somebody claimed after us, whatever our lease says.
+                // Another controller claimed the shard later, even if our lease still looks valid.
                 tracing::warn!(
                     fencing_token = report.fencing_token,
                     term = self.election.term(),
@@ -112,8 +115,10 @@
         Some(merged)
     }
 
-    /// Answers a worker's report as the leader: the fencing token, and its commands.
-    /// `relayed_by`: the peer that relayed it, if one did.
+    /// Merges a worker report as the leader and returns the answer: the fencing token and the
+    /// commands for the worker. `None` if the report was not accepted.
+    ///
+    /// `relayed_by` names the peer that relayed the report, if any.
     pub(super) fn answer_report(&mut self, report: &Report, relayed_by: Option<&str>) -> Option<ReportAnswer> {
         let merged = self.merge_worker_report(report, ReportPath::Heartbeat)?;
         let (now, fencing_token) = (self.now, self.election.term());
@@ -145,7 +150,7 @@
         })
     }
 
-    /// Tells the other controllers the task counts of unfinished jobs, if it is time.
+    /// Sends the task counts of unfinished jobs to the other controllers if they are due.
     fn send_task_counts(&mut self) {
         if !self.leader_timers.take_task_counts_due(self.now) {
             return;
@@ -173,7 +178,7 @@
         self.broadcast(&Message::TaskCounts { shard, counts });
     }
 
-    /// One line a second for operators.
+    /// Logs a summary of the shard for operators, once a second.
     fn log_summary(&self, shard: &Shard) {
         let live_jobs = shard.jobs.table.iter().filter(|(_, job)| job.is_active());
         let attempts = || shard.workers.attempts.iter().map(|(_, attempt)| attempt);
@@ -190,7 +195,7 @@
             writing_ms = in_flight.map_or(0, |flight| self.now - flight.sent),
             queued = self.store_client.queue_len(),
             asked = self.admission.len(),
-            "shard"
+            "shard summary"
         );
     }
 }
--- a/src/controller/leader_timers.rs
+++ b/src/controller/leader_timers.rs
@@ -1,21 +1,21 @@
-//! When the leader last did what it does now and then, and when it last heard anybody.
+//! Timers of the leader's periodic work and of its last contact with workers.
 
 use crate::Millis;
 
-/// How often all machines are looked over for what time alone has changed.
+/// How often all machines and attempts are checked for the effects of elapsed time.
 const MAINTENANCE_INTERVAL_MS: Millis = 200;
-/// How often the others are told the task counts of jobs.
+/// How often the task counts of jobs are sent to the other controllers.
 const TASK_COUNTS_INTERVAL_MS: Millis = 1_000;
-/// How often what nobody waits for is written.
+/// How often changes are written that no work or user waits for.
 const BACKGROUND_COMMIT_INTERVAL_MS: Millis = 150;
-/// After this long without acting (the state service was out, or this process
-/// stood still) the silence of machines counts from now on.
+/// After this long without acting (because of an outage of the state service or a stalled
+/// process) the silence of machines is measured from the time the leader acts again.
 const INACTIVITY_TIMEOUT_MS: Millis = 1_500;
-/// A leader that hears nobody, no controller and no worker, for this long
-/// gives the shard up for another to take.
+/// A leader that has heard neither a controller nor a worker for this long resigns, so that
+/// another controller can take over.
 const ISOLATION_TIMEOUT_MS: Millis = 4_000;
 
-/// Times of the leader's recurring work.
+/// The times at which the leader's periodic work was last done.
 #[derive(Debug, Default)]
 pub(super) struct LeaderTimers {
     claimed_at: Millis,
@@ -27,51 +27,55 @@
 }
 
 impl LeaderTimers {
-    /// The shard was claimed, or its term raised.
+    /// Records that the shard was claimed or its term raised.
     pub(super) fn claimed(&mut self, now: Millis) {
         self.claimed_at = now;
     }
 
-    /// A worker reported.
+    /// Records that a worker was heard, and also that loading began, so that the isolation timeout
+    /// starts again.
     pub(super) fn note_worker_contact(&mut self, now: Millis) {
         self.worker_contact_at = now;
     }
 
-    /// Whether nobody was heard for long. `peer_heard_at`: when the last controller was.
+    /// Whether neither a controller nor a worker has been heard within the isolation timeout.
+    /// `peer_heard_at` is the time of the last heartbeat of any other controller.
     pub(super) fn is_isolated(&self, now: Millis, peer_heard_at: Millis) -> bool {
         now > self.claimed_at + ISOLATION_TIMEOUT_MS
             && now > peer_heard_at + ISOLATION_TIMEOUT_MS
             && now > self.worker_contact_at + ISOLATION_TIMEOUT_MS
     }
 
-    /// Notes that the leader acts. Whether it had not for long.
+    /// Records that the leader is acting. Returns whether it was inactive for longer than the
+    /// inactivity timeout before.
     pub(super) fn note_acting(&mut self, now: Millis) -> bool {
         let was_inactive = now > self.acted_at + INACTIVITY_TIMEOUT_MS;
         self.acted_at = now;
         was_inactive
     }
 
-    /// Whether maintenance is due, which then counts as done.
+    /// Returns whether maintenance is due, and if so marks it as done.
     pub(super) fn take_maintenance_due(&mut self, now: Millis) -> bool {
         take_due(&mut self.maintained_at, now, MAINTENANCE_INTERVAL_MS)
     }
 
-    /// Whether task counts are due, which then count as sent.
+    /// Returns whether task counts are due, and if so marks them as sent.
     pub(super) fn take_task_counts_due(&mut self, now: Millis) -> bool {
         take_due(&mut self.task_counts_sent_at, now, TASK_COUNTS_INTERVAL_MS)
     }
 
-    /// Whether to write also what nobody waits for.
+    /// Whether changes that no work or user waits for should be written now.
     pub(super) fn is_commit_due(&self, now: Millis) -> bool {
         now >= self.commit_attempted_at + BACKGROUND_COMMIT_INTERVAL_MS
     }
 
-    /// A transaction was looked for.
+    /// Records that the pending changes were checked for a transaction to send.
     pub(super) fn commit_attempted(&mut self, now: Millis) {
         self.commit_attempted_at = now;
     }
 }
 
+/// Returns whether `every` milliseconds have passed since `last_at`, and if so sets it to `now`.
 fn take_due(last_at: &mut Millis, now: Millis, every: Millis) -> bool {
     let due = now >= *last_at + every;
     if due {
--- a/src/controller/lease_extension.rs
+++ b/src/controller/lease_extension.rs
@@ -1,16 +1,16 @@
-//! Lease extensions between controllers. The module [`crate::election`] says what they
-//! are.
+//! Messages that request and grant lease extensions between controllers. Lease extensions are
+//! described in [`crate::election`].
 
 use super::{Controller, Output, SHARD};
 use crate::Millis;
 use crate::peers::{CancelledJob, Message};
 use crate::wire::JobState;
 
-/// Cancellations told with a grant; an extension that would take more is not granted.
+/// The largest number of cancelled jobs in a grant. An extension is not granted if there are more.
 const MAX_CANCELLED_JOBS: usize = 200;
 
 impl Controller {
-    /// As the leader: asks all others, if it is time.
+    /// Requests a lease extension from all other controllers if one is due.
     pub(super) fn request_lease_extension(&mut self) {
         if !self.election.take_extension_request_due(self.now) {
             return;
@@ -24,8 +24,11 @@
         self.broadcast(&message);
     }
 
-    /// The leader can't reach the state service. If nor can we, and we know what
-    /// was cancelled, we grant the extension, and tell it of what it may not know.
+    /// Handles an extension request of a leader that cannot reach the state service.
+    ///
+    /// Grants the extension if this controller cannot reach the state service either and its
+    /// watch cache is complete. The grant lists the cancelled jobs that the leader may not know
+    /// of.
     pub(super) fn on_extension_request(&mut self, node: String, term: u64, requested_at: Millis, watch_revision: u64) {
         if !self.store_client.is_failing() || !self.watch_cache.is_complete() {
             return;
@@ -43,7 +46,8 @@
         }
     }
 
-    /// Jobs cancelled after that revision. `None`: too many to tell.
+    /// Returns the jobs cancelled after `watch_revision`, or `None` if there are more than
+    /// [`MAX_CANCELLED_JOBS`].
     fn cancelled_since(&self, watch_revision: u64) -> Option<Vec<CancelledJob>> {
         let newer = self.watch_cache.jobs().values();
         let newer = newer.filter(|(key, version)| *version > watch_revision && key.ended == Some(JobState::Cancelled));
@@ -57,8 +61,8 @@
         (cancelled_jobs.len() <= MAX_CANCELLED_JOBS).then_some(cancelled_jobs)
     }
 
-    /// A grant for the leader's term. What was cancelled through others is stopped
-    /// before their grant counts.
+    /// Handles a grant for this leader's term. Jobs that were cancelled through other controllers
+    /// are stopped before the grant counts.
     pub(super) fn on_extension_grant(
         &mut self,
         node: &str,
@@ -78,6 +82,7 @@
         }
     }
 
+    /// Records a cancelled job in the watch cache if it is newer than what is known.
     fn apply_cancellation(&mut self, CancelledJob { key, version }: CancelledJob) {
         let id = key.spec.id.clone();
         let known = self.watch_cache.jobs().get(&id);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,6 +1,7 @@
-//! One controller: the slices composed into a deterministic state machine.
-//! [`Controller::step`] takes what happened and returns what to send, write and
-//! answer; it does no I/O and has no clock or randomness of its own.
+//! The deterministic state machine of one controller, composed of the other modules.
+//!
+//! [`Controller::step`] takes one [`Input`] and returns the resulting [`Output`]s. It performs no
+//! I/O and has no clock or randomness of its own.
 
 mod claim;
 mod cloud;
@@ -61,14 +62,16 @@
 use term_raise::TermRaise;
 use watch_state::WatchState;
 
-/// Team limits and preemption span all teams on a pool of machines, so all
-/// that compete for it form one shard.
+/// The name of the only shard.
+///
+/// Team quotas and preemption span all teams that share a pool of machines, so all jobs that
+/// compete for the pool belong to one shard.
 pub const SHARD: &str = "pool";
 
-/// Part of the cloud's request rate that a leader uses.
+/// The fraction of the cloud's request rate that a leader uses.
 const CLOUD_RATE_SHARE: f64 = 0.7;
 
-/// One controller: composes the slices and routes inputs to what handles them.
+/// One controller process: holds its state and routes each input to the module that handles it.
 pub struct Controller {
     settings: Settings,
     policy: Policy,
@@ -76,14 +79,14 @@
     connections: Connections,
     now: Millis,
     wall_clock: Millis,
-    /// What the step in progress returns.
+    /// The outputs of the current step.
     outputs: Vec<Output>,
-    /// Of requests to the services and to workers.
+    /// Call ids of requests to the state service, the cloud and workers.
     call_ids: IdSequence,
-    /// Of what is forwarded or relayed to peers.
+    /// Ids of user requests and worker reports that are sent on to peers.
     peer_request_ids: IdSequence,
 
-    // What every controller does.
+    // State of every controller.
     election: LeaderElection,
     peers: PeerLinks,
     admission: Admission,
@@ -92,7 +95,7 @@
     watch_state: WatchState,
     store_client: StoreClient,
 
-    // What the leader does beside.
+    // State that only the leader uses.
     shard: Option<Shard>,
     leader_timers: LeaderTimers,
     load_progress: LoadProgress,
@@ -102,15 +105,16 @@
     redirects: Redirects,
     cloud: cloud::CloudCalls,
 
-    // What the others do for the leader.
+    // State of a controller that forwards or relays to the leader.
     forwarded_requests: ForwardedRequests,
     report_relay: ReportRelay,
     delegated_commands: DelegatedCommands,
 }
 
 impl Controller {
-    /// A controller that knows nothing yet. `incarnation` must differ between any two
-    /// incarnations of this controller.
+    /// Creates a controller that has not yet read anything from the state service.
+    ///
+    /// `incarnation` must differ each time this controller's process starts.
     pub fn new(settings: Settings, policy: Policy, incarnation: u64) -> Controller {
         let nodes = settings.peers.iter().map(|peer| peer.node.clone());
         Controller {
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Handles one input, then does whatever is due. Returns what to send and answer.
+    /// Handles one input, then performs the work that is due, and returns the resulting outputs.
     pub fn step(&mut self, now: Now, input: Input) -> Vec<Output> {
         self.now = now.monotonic;
         self.wall_clock = now.wall_clock;
@@ -162,7 +166,8 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Whether this controller surely leads the shard now.
+    /// Whether this controller is the acting leader: it holds the claim and its leadership has
+    /// not expired.
     pub fn leads(&self) -> bool {
         self.election.is_acting_leader(self.now)
     }
@@ -181,7 +186,7 @@
         self.forwarded_requests.prune(self.peer_request_ids.last());
     }
 
-    /// Whatever is due, after every input.
+    /// Performs the work that is due. Called after every input.
     fn advance(&mut self) {
         self.advance_watch_cache();
         self.advance_election();
--- a/src/controller/output.rs
+++ b/src/controller/output.rs
@@ -1,47 +1,47 @@
-//! What a controller asks its runtime to do.
+//! The outputs of the controller state machine, which its runtime carries out.
 
 use crate::peers::{Answer, Message};
 use crate::store::StoreRequest;
 use crate::wire::{Catalogue, DirectCommands, MachineList, MachineNames, MachineRequest};
 
-/// One thing to do, as [`super::Controller::step`] returns it.
+/// One action for the runtime to carry out, as returned by [`super::Controller::step`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Answer a user, a worker or a health check.
     Answer {
-        /// That of the input.
+        /// The number of the request, from the [`super::Input`] that this answers.
         request: u64,
-        /// The answer.
+        /// The HTTP answer.
         answer: Answer,
     },
     /// Send a request to the state service.
     Store {
-        /// For the reply.
+        /// Identifies the call; the reply carries the same id.
         call: u64,
-        /// The request.
+        /// What to read or write.
         request: StoreRequest,
     },
     /// Send a request to the cloud.
     Cloud {
-        /// For the reply.
+        /// Identifies the call; the reply carries the same id.
         call: u64,
-        /// The request.
+        /// The operation to request.
         request: CloudRequest,
     },
     /// Send direct commands to a worker.
     Worker {
-        /// For the reply.
+        /// Identifies the call; the reply carries the same id.
         call: u64,
-        /// Where the worker listens.
+        /// The network address at which the worker accepts direct commands.
         address: String,
-        /// The commands.
+        /// The commands to execute and the fencing token they are issued under.
         commands: DirectCommands,
     },
     /// Send a message to another controller.
     Peer {
-        /// The receiver.
+        /// The name of the receiving controller.
         node: String,
-        /// The message.
+        /// The message to encode and send.
         message: Message,
     },
 }
@@ -49,15 +49,15 @@
 /// A request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudRequest {
-    /// Which machine types there are.
+    /// Read the catalogue of machine types.
     Catalogue,
-    /// Provision machines.
+    /// Provision machines of one type.
     RequestMachines(MachineRequest),
-    /// Delete machines.
+    /// Delete machines by name.
     Delete(MachineNames),
-    /// A page of the machines that exist.
+    /// Read one page of the list of existing machines.
     List {
-        /// The last machine of the page before, or nothing.
+        /// The last machine of the previous page; empty for the first page.
         after: String,
     },
 }
@@ -65,20 +65,20 @@
 /// The outcome of a request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudReply {
-    /// The machine types.
+    /// The catalogue of machine types.
     Catalogue(Catalogue),
-    /// These machines were provisioned.
+    /// The names of the machines that were provisioned.
     Provisioned(MachineNames),
-    /// No machine of this kind is to be had now.
+    /// The cloud has no capacity for the requested machine type at present.
     NoCapacity,
     /// The machines were deleted.
     Deleted,
-    /// A page of the machines that exist.
+    /// One page of the list of existing machines.
     Listed(MachineList),
-    /// Refused for good: asking the same again gives the same.
+    /// Rejected as invalid: repeating the request would fail again.
     Malformed,
-    /// Not executed.
+    /// Not executed; the request may be repeated.
     Unavailable,
-    /// No answer: perhaps executed, perhaps later.
+    /// No answer: the request may have been executed or may still be executed.
     Unanswered,
 }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,10 +1,11 @@
-//! Messages of other controllers, handed to what handles each.
+//! Messages from other controllers, dispatched to their handlers.
 
 use super::{Controller, Output, SHARD};
 use crate::admission::{Requester, busy};
 use crate::peers::{AddressedCommands, Answer, CommandReply, HeartbeatState, Message, UserRequest};
 
 impl Controller {
+    /// Dispatches a message that the controller `node` sent.
     pub(super) fn on_peer_message(&mut self, node: String, message: Message) {
         match message {
             Message::Heartbeat {
@@ -53,7 +54,7 @@
             return;
         }
         let requester = Requester::Peer { node, id };
-        // Never forwarded twice.
+        // A request is forwarded at most once.
         let effects =
             self.with_admission(|admission, context| admission.handle(context, requester, user_request, None));
         self.apply_effects(effects);
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Delivers commands to workers for the leader, within what may be in flight.
+    /// Delivers commands to workers on behalf of the leader. Refuses those beyond the limit on
+    /// commands in flight.
     fn deliver_for_leader(&mut self, leader: &str, commands: Vec<AddressedCommands>) {
         for AddressedCommands { id, address, commands } in commands {
             if self.delegated_commands.len() >= self.connections.in_flight {
@@ -84,13 +86,14 @@
         }
     }
 
-    /// As the leader: the outcomes of commands that a peer delivered.
+    /// Handles the outcomes of commands that a peer delivered for this leader.
     fn on_command_replies(&mut self, replies: Vec<CommandReply>) {
         for CommandReply { id, reply } in replies {
             self.on_delivery_reply(id, reply);
         }
     }
 
+    /// Sends a message to all other controllers.
     pub(super) fn broadcast(&mut self, message: &Message) {
         for node in self.peers.names() {
             let message = message.clone();
@@ -98,6 +101,7 @@
         }
     }
 
+    /// Sends a heartbeat to all other controllers if one is due.
     pub(super) fn send_heartbeat(&mut self) {
         if !self.peers.take_heartbeat_due(self.now) {
             return;
--- a/src/controller/placement_rounds.rs
+++ b/src/controller/placement_rounds.rs
@@ -1,16 +1,16 @@
-//! When the leader looks for machines for the tasks that wait.
+//! Timing of the leader's placement rounds, which assign waiting tasks to machines.
 
 use crate::Millis;
 
-/// Pause between two rounds, if something has changed.
+/// Interval between two rounds if something has changed in between.
 const INTERVAL_AFTER_CHANGE_MS: Millis = 25;
-/// Pause between two rounds without any change.
+/// Interval between two rounds without any change.
 const INTERVAL_WITHOUT_CHANGE_MS: Millis = 400;
-/// Machines and jobs that make the pause a millisecond longer: what a round costs
-/// grows with them.
+/// The interval after a change grows by one millisecond for each this many machines and jobs,
+/// since the cost of a round grows with their number.
 const SIZE_PER_EXTRA_MS: usize = 20;
 
-/// The leader's rounds of placement.
+/// The time of the last placement round, and whether a new one was requested.
 #[derive(Debug, Default)]
 pub(super) struct PlacementRounds {
     last_at: Millis,
@@ -18,12 +18,13 @@
 }
 
 impl PlacementRounds {
-    /// Something has changed: a round may place what the last could not.
+    /// Requests a round after a change that may allow more tasks to be placed.
     pub(super) fn request(&mut self) {
         self.is_requested = true;
     }
 
-    /// Whether a round is due, which then counts as begun. `size`: machines and jobs.
+    /// Returns whether a round is due, and if so marks it as started. `size` is the number of
+    /// machines and jobs.
     pub(super) fn take_due(&mut self, now: Millis, size: usize) -> bool {
         let pause = if self.is_requested {
             INTERVAL_AFTER_CHANGE_MS + (size / SIZE_PER_EXTRA_MS) as Millis
--- a/src/controller/redirects.rs
+++ b/src/controller/redirects.rs
@@ -1,12 +1,14 @@
-//! Workers that the leader redirects to other controllers, which relay their reports.
+//! Workers that the leader redirected to other controllers, which relay their reports.
 
 use crate::Millis;
 use std::collections::BTreeMap;
 
-/// A worker back so soon after it was redirected can't use that controller.
+/// A worker that reports to the leader again within this time after a redirect cannot reach the
+/// controller it was sent to.
 const FAILED_REDIRECT_WINDOW_MS: Millis = 25_000;
+/// How long a worker is not redirected again after a failed redirect.
 const FAILED_REDIRECT_EXEMPTION_MS: Millis = 60_000;
-/// How often workers redirected long ago are forgotten.
+/// How often workers that were redirected long ago are removed.
 const PRUNE_INTERVAL_MS: Millis = 10_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -16,17 +18,18 @@
 }
 
 impl RedirectedWorker {
-    /// Whether a report soon after the redirect would mean that it failed.
+    /// Whether a report to the leader at this time means that the redirect failed.
     fn is_recent(&self, now: Millis) -> bool {
         now < self.redirected_at + FAILED_REDIRECT_WINDOW_MS
     }
 
+    /// Whether the worker may report to the leader directly at this time.
     fn is_exempt(&self, now: Millis) -> bool {
         now < self.exempt_until
     }
 }
 
-/// Workers that were redirected lately, by the name of the machine.
+/// Workers that were recently redirected, keyed by the name of their machine.
 #[derive(Debug, Default)]
 pub(super) struct Redirects {
     workers: BTreeMap<String, RedirectedWorker>,
@@ -34,9 +37,10 @@
 }
 
 impl Redirects {
-    /// Whether to redirect a worker that reports, which then counts as redirected. One
-    /// that comes back soon can't use the controller it was sent to, and stays for a
-    /// while.
+    /// Returns whether to redirect a worker that reported, and if so marks it as redirected.
+    ///
+    /// A worker that returns soon after a redirect cannot use the other controller, and is exempt
+    /// from redirects for a while.
     pub(super) fn should_redirect(&mut self, now: Millis, machine: &str) -> bool {
         match self.workers.get_mut(machine) {
             Some(worker) if worker.is_exempt(now) => false,
@@ -55,8 +59,7 @@
         }
     }
 
-    /// Forgets, now and then, the workers of which it no longer matters that they were
-    /// redirected.
+    /// Periodically removes workers whose redirect no longer affects any decision.
     pub(super) fn prune(&mut self, now: Millis) {
         if now < self.pruned_at + PRUNE_INTERVAL_MS {
             return;
--- a/src/controller/report_relay.rs
+++ b/src/controller/report_relay.rs
@@ -1,19 +1,19 @@
-//! Reports of workers on their way to the leader, and those that wait for its reply.
+//! Worker reports that this controller relays to the leader, and those that wait for its reply.
 
 use crate::Millis;
 use crate::peers::RelayedReport;
 use crate::wire::Report;
 use std::collections::BTreeMap;
 
-/// A worker is sent elsewhere if the leader has not replied by then.
+/// A worker is redirected if the leader has not replied to its report within this time.
 const REPLY_TIMEOUT_MS: Millis = 3_000;
-/// How often reports are relayed to the leader and replies returned to it. A frame
-/// costs the leader more than most of what it holds.
+/// How often reports are relayed to the leader and command replies are returned to it. They are
+/// batched, since a frame costs the leader more than most of its contents.
 const FLUSH_INTERVAL_MS: Millis = 100;
 
 #[derive(Debug)]
 struct WaitingReport {
-    /// The worker's request, for the answer.
+    /// The number of the worker's request, which the answer must carry.
     request: u64,
     expires_at: Millis,
 }
@@ -21,37 +21,38 @@
 /// Reports that this controller relays to the leader.
 #[derive(Debug, Default)]
 pub(super) struct ReportRelay {
-    /// By the id under which each was or will be relayed.
+    /// Keyed by the id under which each report is relayed.
     waiting: BTreeMap<u64, WaitingReport>,
     unsent: Vec<RelayedReport>,
     flushed_at: Millis,
 }
 
 impl ReportRelay {
-    /// How many workers wait.
+    /// The number of workers that wait for a reply.
     pub(super) fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Relays a report with the next flush.
+    /// Adds a report, which the next flush relays.
     pub(super) fn add(&mut self, now: Millis, id: u64, request: u64, report: Report) {
         let expires_at = now + REPLY_TIMEOUT_MS;
         self.waiting.insert(id, WaitingReport { request, expires_at });
         self.unsent.push(RelayedReport { id, report });
     }
 
-    /// The request of the worker whose report had this id, if it still waits.
+    /// Removes the report with this id and returns the number of the worker's request, if the
+    /// worker still waits.
     pub(super) fn take_request(&mut self, id: u64) -> Option<u64> {
         self.waiting.remove(&id).map(|waiting| waiting.request)
     }
 
-    /// The requests of workers that have waited for too long.
+    /// Removes the reports whose reply timed out and returns the numbers of the workers' requests.
     pub(super) fn take_expired(&mut self, now: Millis) -> Vec<u64> {
         let expired = self.waiting.extract_if(.., |_, waiting| now >= waiting.expires_at);
         expired.map(|(_, waiting)| waiting.request).collect()
     }
 
-    /// Whether to send on what has come together, which then counts as done.
+    /// Returns whether a flush is due, and if so marks it as done.
     pub(super) fn take_flush_due(&mut self, now: Millis) -> bool {
         let due = now >= self.flushed_at + FLUSH_INTERVAL_MS;
         if due {
@@ -60,7 +61,7 @@
         due
     }
 
-    /// The reports that were not sent yet.
+    /// Removes and returns the reports not yet sent.
     pub(super) fn take_unsent(&mut self) -> Vec<RelayedReport> {
         std::mem::take(&mut self.unsent)
     }
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -1,4 +1,4 @@
-//! Users' requests and health checks: admitted here, or forwarded to the leader.
+//! User requests and health checks: handled here or forwarded to another controller.
 
 use super::{Controller, Output, Purpose, SHARD};
 use crate::admission::{Admission, AdmissionContext, AdmissionEffect, Requester, Verdict};
@@ -7,7 +7,7 @@
 use crate::wire::JobSpec;
 
 impl Controller {
-    /// Lets admission act, with what its answers depend on.
+    /// Calls `act` with the admission module and the context that its decisions depend on.
     pub(super) fn with_admission<T>(&mut self, act: impl FnOnce(&mut Admission, &AdmissionContext<'_>) -> T) -> T {
         let claim = self
             .election
@@ -34,6 +34,7 @@
         act(&mut self.admission, &context)
     }
 
+    /// Carries out what admission decided.
     pub(super) fn apply_effects(&mut self, effects: Vec<AdmissionEffect>) {
         for effect in effects {
             match effect {
@@ -78,8 +79,8 @@
         self.outputs.push(Output::Peer { node, message });
     }
 
-    /// A job key was written by us. The watch may have been faster, even to the job's
-    /// end.
+    /// Records a job key that this controller wrote, unless the watch cache is already newer: the
+    /// watch may have shown this or even a later change of the job first.
     fn record_written(&mut self, id: &str, key: JobKey, revision: u64) {
         if revision > self.watch_cache.revision() {
             self.watch_cache.record_job(id, key, revision);
@@ -87,6 +88,7 @@
         }
     }
 
+    /// Handles a request that a user sent to this controller.
     pub(super) fn on_user_request(&mut self, request: u64, user_request: UserRequest) {
         let forward = self.forward_target(&user_request);
         let requester = Requester::User(request);
@@ -95,14 +97,16 @@
         self.apply_effects(effects);
     }
 
-    /// Gives up what admission has waited for long enough.
+    /// Lets admission handle the timeouts of its pending requests.
     pub(super) fn tick_admission(&mut self) {
         let effects = self.with_admission(|admission, context| admission.tick(context));
         self.apply_effects(effects);
     }
 
-    /// Who should answer: the leader takes submissions and cancels; any other
-    /// controller only when this one can't use the state service.
+    /// Selects the controller to forward a request to; `None` if it is handled here.
+    ///
+    /// Submissions and cancellations go to the leader. Other requests are forwarded only while
+    /// this controller cannot reach the state service.
     fn forward_target(&self, user_request: &UserRequest) -> Option<String> {
         if self.leads() {
             return None;
@@ -116,10 +120,12 @@
         to.map(str::to_owned)
     }
 
-    /// Not healthy if another controller could do what this one can't, or if
-    /// it hears too few of them to tell: users of a controller that is cut off
-    /// would ask in vain. In an outage that all share, users are better
-    /// answered than refused.
+    /// Answers a health check.
+    ///
+    /// A controller without the state service is unhealthy if another controller can reach it, or
+    /// if too few controllers are reachable to know: users of a partitioned controller would get
+    /// no answers. During an outage that all controllers share it stays healthy, since answers
+    /// from the watch cache are better for users than refusals.
     pub(super) fn on_health_check(&mut self, request: u64) {
         let shared_outage = self.peers.most_in_reach(self.now) && self.peers.with_store(self.now).is_none();
         let is_healthy = self.store_client.is_reachable(self.now) || (self.watch_cache.is_complete() && shared_outage);
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -1,26 +1,27 @@
-//! Requests to the state service: queued and sent, and their replies handed to what
-//! asked.
+//! Sends requests to the state service and dispatches the replies by the purpose of the request.
 
 use super::{Controller, Purpose};
 use crate::Millis;
 use crate::store::{StoreReply, StoreRequest};
 
-/// Pause before a request without an answer is sent again.
+/// Delay before an unanswered request is sent again.
 pub(super) const RETRY_MS: Millis = 200;
-/// Pause before a request beyond the service's rate is sent again.
+/// Delay before a request that exceeded the service's rate limit is sent again.
 const THROTTLED_RETRY_MS: Millis = 250;
 
 impl Controller {
+    /// Queues a request to be sent as soon as the rate limits allow.
     pub(super) fn enqueue(&mut self, purpose: Purpose, request: StoreRequest) {
         self.store_client.enqueue(self.now, purpose, request);
     }
 
-    /// Sends a request no sooner than after a pause.
+    /// Queues a request to be sent after a delay of `pause` milliseconds at the earliest.
     pub(super) fn enqueue_after(&mut self, pause: Millis, purpose: Purpose, request: StoreRequest) {
         self.store_client.enqueue(self.now + pause, purpose, request);
     }
 
-    /// Sends what the rates allow, and refuses users' requests beyond what may wait.
+    /// Sends queued requests within the rate limits, and refuses user requests that exceed the
+    /// queue limit.
     pub(super) fn send_queued(&mut self) {
         self.store_client.set_rates(self.election.phase());
         self.store_client
@@ -30,6 +31,8 @@
         }
     }
 
+    /// Handles a reply of the state service. A throttled request is sent again later, except for a
+    /// lease renewal.
     pub(super) fn on_store_reply(&mut self, call: u64, reply: StoreReply) {
         let Some(answered) = self.store_client.take_answered(self.now, call, &reply) else {
             return;
@@ -42,6 +45,7 @@
         self.on_answered(answered.purpose, &answered.request, reply);
     }
 
+    /// Passes a reply to the handler for the purpose of its request.
     fn on_answered(&mut self, purpose: Purpose, request: &StoreRequest, reply: StoreReply) {
         match purpose {
             Purpose::GrantLease => self.on_lease_granted(reply),
--- a/src/controller/store_client.rs
+++ b/src/controller/store_client.rs
@@ -1,5 +1,5 @@
-//! The controller's side of the state service: requests that wait, requests in flight,
-//! the rates within which they are sent, and whether the service answers.
+//! The client of the state service: queued requests, requests in flight, rate limits, and whether
+//! the service is reachable.
 
 use super::id_sequence::IdSequence;
 use super::store_purpose::Purpose;
@@ -11,10 +11,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use store_rates::RateShares;
 
-/// Requests to the state service that wait are those of this long at its rate: users
-/// give up before any more would be sent.
+/// The length of the queue, as the time in seconds to send it at the service's full request rate.
+/// Users would give up before any requests beyond that were sent.
 const MAX_QUEUE_S: f64 = 3.0;
-/// The state service is taken for reachable this long after its last answer.
+/// The state service counts as reachable for this long after its last answer.
 const REACHABLE_MS: Millis = 3_000;
 
 struct QueuedRequest {
@@ -23,34 +23,38 @@
     not_before: Millis,
 }
 
-/// A request and why it was made.
+/// A request together with its purpose.
 pub(super) struct TrackedRequest {
     pub(super) purpose: Purpose,
     pub(super) request: StoreRequest,
 }
 
-/// What pays for the writes of a request.
+/// The token bucket that the writes of a request are charged to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteBudget {
+    /// Reserved for the writes that users wait for.
     Users,
+    /// For the controller's own writes, and for users' writes when their own bucket is empty.
     Controller,
 }
 
-/// Requests to the state service, sent within the rates.
+/// Queues requests to the state service and sends them within the rate limits.
 pub(super) struct StoreClient {
     queue: VecDeque<QueuedRequest>,
     in_flight: BTreeMap<u64, TrackedRequest>,
-    requests: TokenBucket,
-    writes: TokenBucket,
-    /// Reserved for what users wait for, so that it never queues behind a large
+    request_bucket: TokenBucket,
+    write_bucket: TokenBucket,
+    /// Reserved for the writes that users wait for, so that they never queue behind a large
     /// transaction of the leader.
-    user_writes: TokenBucket,
-    /// Requests and writes a second that the service allows to all controllers.
+    user_write_bucket: TokenBucket,
+    /// The requests per second that the service allows to all controllers together.
     service_rps: f64,
+    /// The writes per second that the service allows to all controllers together.
     service_write_rps: f64,
-    controllers: f64,
+    /// The number of controllers, including this one.
+    controller_count: f64,
     last_answer_at: Option<Millis>,
-    /// When it last refused a request or gave no answer.
+    /// When the service last was unavailable or gave no answer.
     last_failure_at: Option<Millis>,
 }
 
@@ -61,18 +65,18 @@
         StoreClient {
             queue: VecDeque::new(),
             in_flight: BTreeMap::new(),
-            requests: TokenBucket::new(state.rps * initial.requests),
-            writes: TokenBucket::new(state.write_rps * initial.writes),
-            user_writes: TokenBucket::new(state.write_rps * initial.user_writes),
+            request_bucket: TokenBucket::new(state.rps * initial.requests),
+            write_bucket: TokenBucket::new(state.write_rps * initial.writes),
+            user_write_bucket: TokenBucket::new(state.write_rps * initial.user_writes),
             service_rps: state.rps,
             service_write_rps: state.write_rps,
-            controllers: settings.peers.len() as f64 + 1.0,
+            controller_count: settings.peers.len() as f64 + 1.0,
             last_answer_at: None,
             last_failure_at: None,
         }
     }
 
-    /// Sends the request no sooner than `not_before`.
+    /// Queues a request to be sent at `not_before` at the earliest.
     pub(super) fn enqueue(&mut self, not_before: Millis, purpose: Purpose, request: StoreRequest) {
         self.queue.push_back(QueuedRequest {
             purpose,
@@ -81,16 +85,16 @@
         });
     }
 
-    /// How many requests wait.
+    /// The number of queued requests.
     pub(super) fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// This controller's part of the rates. What is left over is the reserve for
-    /// leases and claims.
+    /// This controller's shares of the service's rates in the given phase. What remains is
+    /// reserved for leases and claims.
     pub(super) fn rate_shares(&self, phase: Phase) -> RateShares {
         if phase == Phase::Follower {
-            store_rates::FOLLOWERS.divided_by(self.controllers)
+            store_rates::FOLLOWERS.divided_by(self.controller_count)
         } else if self.queue.iter().any(|queued| queued.purpose.is_user_write()) {
             store_rates::LEADER_WITH_QUEUED_USER_WRITES
         } else {
@@ -98,15 +102,16 @@
         }
     }
 
-    /// Adapts the rates to the phase of the election.
+    /// Sets the rate limits for the given phase of the election.
     pub(super) fn set_rates(&mut self, phase: Phase) {
         let shares = self.rate_shares(phase);
-        self.requests.set_rate(self.service_rps * shares.requests);
-        self.writes.set_rate(self.service_write_rps * shares.writes);
-        self.user_writes.set_rate(self.service_write_rps * shares.user_writes);
+        self.request_bucket.set_rate(self.service_rps * shares.requests);
+        self.write_bucket.set_rate(self.service_write_rps * shares.writes);
+        self.user_write_bucket
+            .set_rate(self.service_write_rps * shares.user_writes);
     }
 
-    /// Sends what the rates allow, the urgent first.
+    /// Sends queued requests within the rate limits, urgent requests first.
     pub(super) fn send_ready(&mut self, now: Millis, call_ids: &mut IdSequence, outputs: &mut Vec<Output>) {
         let queue = std::mem::take(&mut self.queue);
         let (urgent, rest): (Vec<_>, Vec<_>) = queue.into_iter().partition(|queued| queued.purpose.is_urgent());
@@ -118,16 +123,16 @@
         }
     }
 
-    /// What pays for the request now. `None`: it has to wait.
+    /// Returns the budget to charge for a request, or `None` if the request has to wait.
     fn ready_budget(&mut self, now: Millis, queued: &QueuedRequest) -> Option<WriteBudget> {
-        let budget = if queued.purpose.is_user_write() && self.user_writes.ready(now) {
+        let budget = if queued.purpose.is_user_write() && self.user_write_bucket.ready(now) {
             WriteBudget::Users
         } else {
             WriteBudget::Controller
         };
-        let may_write = queued.request.writes() == 0 || budget == WriteBudget::Users || self.writes.ready(now);
+        let may_write = queued.request.writes() == 0 || budget == WriteBudget::Users || self.write_bucket.ready(now);
         let is_ready =
-            now >= queued.not_before && (queued.purpose.is_urgent() || self.requests.ready(now) && may_write);
+            now >= queued.not_before && (queued.purpose.is_urgent() || self.request_bucket.ready(now) && may_write);
         is_ready.then_some(budget)
     }
 
@@ -139,10 +144,10 @@
         outputs: &mut Vec<Output>,
     ) {
         let QueuedRequest { purpose, request, .. } = queued;
-        self.requests.spend(1.0);
+        self.request_bucket.spend(1.0);
         let bucket = match budget {
-            WriteBudget::Users => &mut self.user_writes,
-            WriteBudget::Controller => &mut self.writes,
+            WriteBudget::Users => &mut self.user_write_bucket,
+            WriteBudget::Controller => &mut self.write_bucket,
         };
         bucket.spend(f64::from(request.writes()));
         let call = call_ids.next();
@@ -153,8 +158,8 @@
         self.in_flight.insert(call, TrackedRequest { purpose, request });
     }
 
-    /// Takes out a request of a user, the last one, if too many requests wait: only
-    /// users' requests come in such numbers.
+    /// Removes and returns the last user request in the queue if the queue is too long. Only user
+    /// requests arrive in such numbers.
     pub(super) fn take_excess(&mut self) -> Option<TrackedRequest> {
         let max_queue = (self.service_rps * MAX_QUEUE_S) as usize;
         if self.queue.len() <= max_queue {
@@ -165,7 +170,7 @@
         Some(TrackedRequest { purpose, request })
     }
 
-    /// Takes out the request that this reply answers, if it still matters.
+    /// Removes and returns the request that a reply belongs to. `None` if it was discarded.
     pub(super) fn take_answered(&mut self, now: Millis, call: u64, reply: &StoreReply) -> Option<TrackedRequest> {
         let answered = self.in_flight.remove(&call)?;
         match reply {
@@ -176,29 +181,29 @@
         Some(answered)
     }
 
-    /// Drops all requests that mean something only within the term that ends.
+    /// Discards all requests that are valid only within the ending term.
     pub(super) fn discard_term_requests(&mut self) {
         self.in_flight.retain(|_, sent| !sent.purpose.is_bound_to_term());
         self.queue.retain(|queued| !queued.purpose.is_bound_to_term());
     }
 
-    /// Whether the service answered lately.
+    /// Whether the service has answered recently.
     pub(super) fn is_reachable(&self, now: Millis) -> bool {
         self.last_answer_at.is_some_and(|at| now < at + REACHABLE_MS)
     }
 
-    /// Whether it has failed since it last answered.
+    /// Whether the service has failed since its last answer.
     pub(super) fn is_failing(&self) -> bool {
         self.last_failure_at > self.last_answer_at
     }
 
-    /// Whether the rates allow another transaction of the leader.
+    /// Whether the rate limits allow another transaction of the leader.
     pub(super) fn may_commit(&mut self, now: Millis) -> bool {
-        self.writes.ready(now) && self.requests.ready(now)
+        self.write_bucket.ready(now) && self.request_bucket.ready(now)
     }
 
-    /// How many writes the leader may send now without going into debt.
+    /// The number of writes the leader may send now without overdrawing its token bucket.
     pub(super) fn write_allowance(&mut self, now: Millis) -> usize {
-        self.writes.level(now) as usize
+        self.write_bucket.level(now) as usize
     }
 }
--- a/src/controller/store_purpose.rs
+++ b/src/controller/store_purpose.rs
@@ -1,56 +1,56 @@
-//! Why a request to the state service was made, which decides what its reply means.
+//! The purpose of a request to the state service, which determines how its reply is handled.
 
 use super::commits;
 use crate::Millis;
 use crate::wire::Transaction;
 use std::sync::Arc;
 
-/// Why a request to the state service was made.
+/// The purpose of a request to the state service.
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
-    /// A lease to claim the shard with.
+    /// Requests a lease under which to claim the shard.
     GrantLease,
-    /// The claim, or a higher term.
+    /// Claims the shard, or raises the term of an existing claim.
     Claim {
         transaction: Arc<Transaction>,
         sent: Millis,
     },
-    /// The lease's renewal.
+    /// Renews the lease of the claim.
     RenewLease { sent: Millis },
-    /// After a claim that conflicted: is it ours?
+    /// Reads the claim after a conflict, to see whether it is our own.
     CheckClaim,
-    /// A full read of the watched keys.
+    /// Reads a page of all watched keys, to fill the watch cache.
     ReadWatchCache,
-    /// Waits for changes of the watched keys.
+    /// Waits for changes to the watched keys.
     Watch,
-    /// Brings the watch cache up to date.
+    /// Reads the latest changes to the watched keys, to bring the watch cache up to date.
     RefreshWatchCache {
-        /// The number of admission's confirming read, if it asked for this one.
+        /// The number of the confirming read, if admission requested this one.
         admission_read: Option<u64>,
         sent: Millis,
     },
-    /// A page of what a new leader reads.
+    /// Reads a page of the state that a new leader loads.
     Load(LoadStage),
-    /// The leader's transaction in flight.
+    /// Applies the leader's transaction in flight.
     Commit,
-    /// Whether the transaction in flight was carried out.
+    /// Reads the evidence key, to see whether the transaction in flight was applied.
     CheckCommit(commits::Evidence),
-    /// How a job ended, for this operation of admission.
+    /// Reads how a job ended, for the admission request with this id.
     ReadJobEnd(u64),
-    /// A user's submission or cancellation, for this operation of admission.
+    /// Writes a submission or cancellation, for the admission request with this id.
     UserWrite(u64),
-    /// Stores the catalogue.
+    /// Stores the cloud's catalogue.
     WriteCatalogue,
-    /// Removes the own claim.
+    /// Deletes this controller's own claim.
     Resign,
 }
 
-/// What a new leader reads, in this order.
+/// The stages of loading by a new leader, in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LoadStage {
-    /// The machines of the inventory.
+    /// The groups of machines in the inventory.
     Machines,
-    /// Requests for machines that the cloud may not have answered.
+    /// Machine requests that the cloud may not have answered yet.
     MachineRequests,
     /// The watched keys, up to a revision after the claim.
     WatchCache,
@@ -59,7 +59,7 @@
 }
 
 impl Purpose {
-    /// Whether requests of this kind mean something only within one term.
+    /// Whether the request is valid only within the term in which it was made.
     pub(super) fn is_bound_to_term(&self) -> bool {
         matches!(
             self,
@@ -72,8 +72,8 @@
         )
     }
 
-    /// Whether it goes first and is never held back: a share of the rate is reserved
-    /// for what leases and claims depend on.
+    /// Whether the request is sent first and without regard to the rate limits. A share of the
+    /// rate is reserved for the requests that leases and claims depend on.
     pub(super) fn is_urgent(&self) -> bool {
         matches!(
             self,
@@ -82,17 +82,17 @@
                 | Purpose::RenewLease { .. }
                 | Purpose::CheckClaim
                 | Purpose::Resign
-                // One a second, on which acting depends.
+                // Sent once a second; the leader may act only with a recent watch cache.
                 | Purpose::RefreshWatchCache { admission_read: None, .. }
         )
     }
 
-    /// Whether a user waits for this write.
+    /// Whether this is a write that a user waits for.
     pub(super) fn is_user_write(&self) -> bool {
         matches!(self, Purpose::UserWrite(_))
     }
 
-    /// Whether a user waits for this request, so that it may be refused.
+    /// Whether a user waits for this request. Such requests may be refused.
     pub(super) fn is_for_user(&self) -> bool {
         matches!(self, Purpose::ReadJobEnd(_) | Purpose::UserWrite(_))
     }
--- a/src/controller/store_rates.rs
+++ b/src/controller/store_rates.rs
@@ -1,35 +1,36 @@
-//! How the rates that the state service allows are shared among the controllers.
+//! How the state service's rate limits are divided among the controllers.
 
-/// Parts of the service's rates.
+/// Fractions of the service's rate limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct RateShares {
-    /// Of the requests.
+    /// The fraction of the request rate.
     pub(super) requests: f64,
-    /// Of the writes, for the controller's own.
+    /// The fraction of the write rate for the controller's own writes.
     pub(super) writes: f64,
-    /// Of the writes, for those of users.
+    /// The fraction of the write rate for users' writes.
     pub(super) user_writes: f64,
 }
 
-/// Before anything is known.
+/// A controller's shares before its role in the election is known.
 pub(super) const INITIAL: RateShares = RateShares {
     requests: 0.2,
     writes: 0.2,
     user_writes: 0.04,
 };
-/// Of all controllers together, where none of them leads.
+/// The shares of all controllers together that are not the leader.
 pub(super) const FOLLOWERS: RateShares = RateShares {
     requests: 0.4,
     writes: 0.05,
     user_writes: 0.15,
 };
+/// The leader's shares.
 pub(super) const LEADER: RateShares = RateShares {
     requests: 0.45,
     writes: 0.6,
     user_writes: 0.15,
 };
-/// In a wave of submissions: what is being started, ended and cleaned up can follow,
-/// while users count the milliseconds.
+/// The leader's shares while users' writes are queued, as in a burst of submissions. The writes
+/// for starts, ends and clean-up can be delayed; users' latency matters more.
 pub(super) const LEADER_WITH_QUEUED_USER_WRITES: RateShares = RateShares {
     requests: 0.45,
     writes: 0.3,
@@ -37,12 +38,12 @@
 };
 
 impl RateShares {
-    /// One controller's part, of so many.
-    pub(super) fn divided_by(self, controllers: f64) -> RateShares {
+    /// Divides the shares evenly among this many controllers.
+    pub(super) fn divided_by(self, controller_count: f64) -> RateShares {
         RateShares {
-            requests: self.requests / controllers,
-            writes: self.writes / controllers,
-            user_writes: self.user_writes / controllers,
+            requests: self.requests / controller_count,
+            writes: self.writes / controller_count,
+            user_writes: self.user_writes / controller_count,
         }
     }
 }
--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -1,5 +1,6 @@
-//! What a new leader reads before it acts: machines, machine requests, jobs and firings, one
-//! page after the other, so that heartbeats and renewals come in between.
+//! Loading the shard's state as a new leader: machines, machine requests, jobs and their attempts.
+//!
+//! Pages are read one at a time, so that heartbeats and lease renewals are handled in between.
 
 use super::store_calls::RETRY_MS;
 use super::{Controller, LoadStage, Purpose};
@@ -8,11 +9,11 @@
 use crate::store::{StoreReply, StoreRequest, tail};
 use crate::wire::{Entry, Page};
 
-/// Pause before the next claim after loading was given up.
+/// Delay before the next claim after loading was aborted.
 const CLAIM_DELAY_MS: Millis = 500;
 
 impl Controller {
-    /// Reads the page of a stage after that key.
+    /// Requests the page of `stage` that follows the key `after`.
     pub(super) fn load_page(&mut self, stage: LoadStage, after: String) {
         let prefix = match stage {
             LoadStage::Machines => self.keys.inventories(),
@@ -23,6 +24,7 @@
         self.enqueue(Purpose::Load(stage), StoreRequest::List { prefix, after });
     }
 
+    /// Handles the reply to a page request of `stage`.
     pub(super) fn on_load_reply(&mut self, stage: LoadStage, request: &StoreRequest, reply: StoreReply) {
         if self.election.phase() != Phase::Loading {
             return;
@@ -80,9 +82,8 @@
         let Some((job, number)) = tail(entry, &self.keys.firings()).split_once('/') else {
             return;
         };
-        // The job may be newer than the watch cache, which is brought up to date before
-        // firings are read; if it is still missing, it was cleaned up while these pages
-        // were read.
+        // The watch cache was brought up to date before this stage. A job that is missing from it
+        // was deleted while these pages were read.
         if shard.jobs.table.find(job).is_some()
             && let Ok(number) = number.parse()
         {
@@ -93,7 +94,7 @@
     fn load_next_stage(&mut self, stage: LoadStage) {
         match stage {
             LoadStage::Machines => self.load_page(LoadStage::MachineRequests, String::new()),
-            // The watch cache must be newer than the claim before firings are read.
+            // The watch cache must be newer than the claim before the `Firings` stage starts.
             LoadStage::MachineRequests => {
                 let request = self.watch_request(0);
                 self.enqueue(Purpose::Load(LoadStage::WatchCache), request);
@@ -103,8 +104,8 @@
         }
     }
 
-    /// The read that brings the watch cache up to date while loading came back.
-    /// Whether it did, and the shard knows the jobs.
+    /// Applies the reply to the watch cache update of the loading sequence and adds the jobs to
+    /// the shard. Returns whether the watch cache is up to date.
     fn load_jobs(&mut self, reply: &StoreReply) -> bool {
         if !self.apply_watch_log(reply.clone()) {
             return false;
@@ -118,13 +119,13 @@
         true
     }
 
-    /// Everything has been read: acts from now on.
+    /// Completes loading: this controller starts to act as the leader.
     fn on_loaded(&mut self) {
         let Some(shard) = &mut self.shard else {
             return;
         };
         shard.loaded();
-        // Asking each machine straight away spares a report interval.
+        // Contacting each worker directly saves waiting one report interval.
         shard.workers.delivery_due.extend(shard.workers.machines.indices());
         tracing::info!(
             term = self.election.term(),
@@ -137,7 +138,7 @@
         self.placement_rounds.request();
     }
 
-    /// Loading goes on as long as answers come.
+    /// Steps down if loading has stalled. Loading continues as long as replies arrive.
     pub(super) fn abort_stalled_loading(&mut self) {
         if self.election.phase() == Phase::Loading && self.load_progress.is_stalled(self.now) {
             self.step_down(CLAIM_DELAY_MS);
--- a/src/controller/term_raise.rs
+++ b/src/controller/term_raise.rs
@@ -1,52 +1,54 @@
-//! Why and when the leader raises its term.
+//! Tracks whether and when the leader raises its term.
 
 use crate::Millis;
 
-/// Raising the term costs a fresh start, so not more often than this.
+/// Minimum interval between two raises of the term, since a raise may require a full reload.
 const MIN_RAISE_INTERVAL_MS: Millis = 8_000;
 
-/// The next raise of the term, and the last one.
+/// The state of the next raise of the term, and the time of the last one.
 #[derive(Debug, Default)]
 pub(super) struct TermRaise {
-    /// What is known may be wrong: claim once more and read it all again.
+    /// The shard's state may be wrong: claim again under a higher term and reload everything.
     is_reload_requested: bool,
-    /// The term is about to rise, or rising, while what is known still holds.
+    /// A raise is being prepared or is in flight. Nothing that depends on the present claim may be
+    /// sent.
     is_pending: bool,
     raised_at: Millis,
 }
 
 impl TermRaise {
-    /// Asks for a new term in which all is read again.
+    /// Requests a higher term under which the shard is reloaded.
     pub(super) fn request_reload(&mut self) {
         self.is_reload_requested = true;
     }
 
-    /// The same, however short ago the term was raised.
+    /// Requests a reload regardless of how recently the term was raised.
     pub(super) fn request_reload_now(&mut self) {
         self.request_reload();
         self.raised_at = 0;
     }
 
+    /// Whether the next raise must reload the shard.
     pub(super) fn is_reload_requested(&self) -> bool {
         self.is_reload_requested
     }
 
-    /// Whether nothing more may be sent that depends on the present claim.
+    /// Whether a raise is pending, so that nothing that depends on the present claim may be sent.
     pub(super) fn is_pending(&self) -> bool {
         self.is_pending
     }
 
-    /// Whether the last raise is long enough ago.
+    /// Whether the minimum interval since the last raise has passed.
     pub(super) fn is_allowed(&self, now: Millis) -> bool {
         now >= self.raised_at + MIN_RAISE_INTERVAL_MS
     }
 
-    /// From now on nothing is sent that depends on the present claim.
+    /// Starts a raise. From now on nothing that depends on the present claim may be sent.
     pub(super) fn begin(&mut self) {
         self.is_pending = true;
     }
 
-    /// The claim succeeded. Whether what was known before still holds.
+    /// Records a successful claim. Returns whether the shard's previous state is still valid.
     pub(super) fn claimed(&mut self, now: Millis) -> bool {
         let is_state_valid = self.is_pending && !self.is_reload_requested;
         self.cancel();
@@ -54,7 +56,7 @@
         is_state_valid
     }
 
-    /// Wants no raise any more.
+    /// Cancels a requested or pending raise.
     pub(super) fn cancel(&mut self) {
         self.is_reload_requested = false;
         self.is_pending = false;
--- a/src/controller/watch_state.rs
+++ b/src/controller/watch_state.rs
@@ -1,12 +1,12 @@
-//! When the watch cache is read, watched and brought up to date.
+//! Timing of the requests that fill the watch cache and keep it up to date.
 
 use crate::Millis;
 
-/// Without other traffic, a look now and then tells whether the state service can be
-/// reached, and keeps the watch cache fresh.
+/// How often the watch cache is refreshed. Without other traffic, this also shows whether the
+/// state service is reachable.
 const REFRESH_INTERVAL_MS: Millis = 1_000;
 
-/// A request of which one at a time is in flight, with a pause in between.
+/// A repeated request: at most one is in flight, with a pause between two of them.
 #[derive(Debug, Default)]
 struct PacedRequest {
     in_flight: bool,
@@ -14,20 +14,21 @@
 }
 
 impl PacedRequest {
-    /// Whether to send it now, which then counts as sent.
+    /// Returns whether the request is due, and if so marks it as in flight.
     fn take_due(&mut self, now: Millis) -> bool {
         let due = !self.in_flight && now >= self.not_before;
         self.in_flight |= due;
         due
     }
 
+    /// Marks the request as finished. The next is due at `not_before` at the earliest.
     fn pause_until(&mut self, not_before: Millis) {
         self.in_flight = false;
         self.not_before = not_before;
     }
 }
 
-/// The requests that keep the watch cache new.
+/// The state of the requests that fill the watch cache and keep it up to date.
 #[derive(Debug, Default)]
 pub(super) struct WatchState {
     read: PacedRequest,
@@ -36,36 +37,37 @@
 }
 
 impl WatchState {
-    /// Whether to begin a full read now, which then counts as begun.
+    /// Returns whether a full read is due, and if so marks it as started.
     pub(super) fn take_read_due(&mut self, now: Millis) -> bool {
         self.read.take_due(now)
     }
 
-    /// The full read is complete.
+    /// Records that the full read is complete.
     pub(super) fn read_complete(&mut self) {
         self.read.in_flight = false;
     }
 
-    /// The full read failed; the next begins no sooner than that.
+    /// Records that the full read failed. The next one is due at `not_before` at the earliest.
     pub(super) fn read_failed(&mut self, not_before: Millis) {
         self.read.pause_until(not_before);
     }
 
-    /// Whether to send a watch now, which then counts as sent.
+    /// Returns whether a watch is due, and if so marks it as sent.
     pub(super) fn take_watch_due(&mut self, now: Millis) -> bool {
         self.watch.take_due(now)
     }
 
-    /// The watch was answered; the next is sent no sooner than that.
+    /// Records that the watch ended. The next one is due at `not_before` at the earliest.
     pub(super) fn watch_answered(&mut self, not_before: Millis) {
         self.watch.pause_until(not_before);
     }
 
-    /// Whether the watch cache was not brought up to date for long.
+    /// Whether the refresh interval has passed since the last refresh was sent.
     pub(super) fn is_refresh_due(&self, now: Millis) -> bool {
         now >= self.refresh_sent_at + REFRESH_INTERVAL_MS
     }
 
+    /// Records that a refresh was sent.
     pub(super) fn refresh_sent(&mut self, now: Millis) {
         self.refresh_sent_at = now;
     }
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -1,17 +1,19 @@
-//! Keeps the watch cache new, and tells the other parts what has changed in it.
+//! Keeps the watch cache up to date and passes its changes on to the other parts of the controller.
 
 use super::{Controller, Purpose};
 use crate::Millis;
 use crate::store::{StoreReply, StoreRequest, WatchedChange};
 use crate::wire::Catalogue;
 
+/// How long the state service holds a watch request open while there are no changes.
 const WATCH_WAIT_MS: u64 = 10_000;
-/// Changes that come close together are taken in one answer.
+/// Pause between two watch requests, so that changes close together arrive in one reply.
 const WATCH_PAUSE_MS: Millis = 150;
-/// Pause before a failed read or watch is tried again.
+/// Delay before a failed read or watch is retried.
 const RETRY_MS: Millis = 300;
 
 impl Controller {
+    /// Sends the requests for the watch cache that are due.
     pub(super) fn advance_watch_cache(&mut self) {
         if !self.watch_cache.is_complete() {
             if self.watch_state.take_read_due(self.now) {
@@ -27,18 +29,19 @@
         }
     }
 
-    /// One page of a full read.
+    /// Requests the page of a full read that follows the key `after`.
     fn read_watch_cache(&mut self, after: String) {
         let prefix = self.keys.watched();
         self.enqueue(Purpose::ReadWatchCache, StoreRequest::List { prefix, after });
     }
 
-    /// Brings the watch cache up to date.
+    /// Requests the latest changes for the watch cache.
     pub(super) fn refresh_watch_cache(&mut self) {
         self.send_refresh(None);
     }
 
-    /// Brings the watch cache up to date, for questions of admission too.
+    /// Requests the latest changes for the watch cache as the confirming read with number `read`
+    /// of admission.
     pub(super) fn refresh_for_admission(&mut self, read: u64) {
         self.send_refresh(Some(read));
     }
@@ -52,7 +55,8 @@
         self.enqueue(purpose, self.watch_request(0));
     }
 
-    /// Asks what has changed of the watched keys since the watch cache's revision.
+    /// Builds a request for the changes to the watched keys since the watch cache's revision. The
+    /// service waits up to `wait_ms` for a change if there is none yet.
     pub(super) fn watch_request(&self, wait_ms: u64) -> StoreRequest {
         StoreRequest::Watch {
             prefix: self.keys.watched(),
@@ -61,17 +65,19 @@
         }
     }
 
+    /// Handles the reply to a watch.
     pub(super) fn on_watch_reply(&mut self, reply: StoreReply) {
         let is_up_to_date = self.apply_watch_log(reply);
         let pause = if is_up_to_date { WATCH_PAUSE_MS } else { RETRY_MS };
         self.watch_state.watch_answered(self.now + pause);
     }
 
-    /// The refresh sent then came back. Questions of admission may wait for it.
+    /// Handles the reply to the refresh that was sent at `sent`. User requests may wait for it if it
+    /// is a confirming read of admission.
     pub(super) fn on_refreshed(&mut self, admission_read: Option<u64>, sent: Millis, reply: StoreReply) {
         let is_up_to_date = self.apply_watch_log(reply);
         if is_up_to_date {
-            self.watch_cache_read(sent);
+            self.on_watch_cache_read(sent);
         }
         if let Some(read) = admission_read {
             let effects = self.with_admission(|admission, context| {
@@ -85,6 +91,7 @@
         }
     }
 
+    /// Handles a page of a full read, and requests the next one if there is one.
     pub(super) fn on_watch_cache_page(&mut self, request: &StoreRequest, reply: StoreReply) {
         let StoreReply::Page(page) = reply else {
             self.watch_cache.restart();
@@ -98,11 +105,12 @@
                 self.on_watched_changes(changes);
             }
             (None, Some(after)) => self.read_watch_cache(after),
-            (None, None) => tracing::error!(?request, "an empty page says that there is more"),
+            (None, None) => tracing::error!(?request, "received an empty page that is marked as not the last"),
         }
     }
 
-    /// Takes in what a watch gave. Whether the watch cache is up to date with it.
+    /// Applies the reply to a watch request to the watch cache. Returns whether the watch cache is
+    /// up to date.
     pub(super) fn apply_watch_log(&mut self, reply: StoreReply) -> bool {
         match reply {
             StoreReply::Log(log) if self.watch_cache.is_complete() => {
@@ -121,7 +129,7 @@
     fn on_watched_changes(&mut self, changes: Vec<WatchedChange>) {
         for change in changes {
             match change {
-                WatchedChange::Leader => self.leader_changed(),
+                WatchedChange::Leader => self.on_claim_changed(),
                 WatchedChange::Catalogue => self.apply_stored_catalogue(),
                 WatchedChange::Job(id) => self.job_changed(&id),
                 WatchedChange::JobGone(id) => self.job_removed(id),
@@ -129,6 +137,7 @@
         }
     }
 
+    /// Takes over the catalogue that the state service holds.
     fn apply_stored_catalogue(&mut self) {
         let value = self.watch_cache.catalogue().cloned();
         match value.map(serde_json::from_value::<Catalogue>) {
@@ -138,6 +147,7 @@
         }
     }
 
+    /// Sets the catalogue for this controller and the shard.
     pub(super) fn set_catalogue(&mut self, catalogue: Catalogue) {
         if let Some(shard) = &mut self.shard {
             shard.set_catalogue(&catalogue);
@@ -146,6 +156,7 @@
         self.placement_rounds.request();
     }
 
+    /// Passes a changed job from the watch cache on to the shard.
     pub(super) fn job_changed(&mut self, id: &str) {
         if let (Some(shard), Some((key, version))) = (&mut self.shard, self.watch_cache.jobs().get(id)) {
             shard.job_changed(self.now, id, key, *version);
--- a/src/controller/worker_reports.rs
+++ b/src/controller/worker_reports.rs
@@ -1,14 +1,15 @@
-//! Reports of workers: answered as the leader, or relayed to it.
+//! Worker reports: answered by the leader, relayed to it by the other controllers.
 
 use super::{Controller, Output, SHARD};
 use crate::peers::{Answer, Message, RelayedReport, RelayedReportReply, ReportReply};
 use crate::wire::{Redirect, Report};
 use crate::workers::{Merged, ReportPath};
 
-/// Reports or replies in one message, so that frames stay small.
+/// The largest number of reports or replies in one message, which keeps frames small.
 const BATCH_SIZE: usize = 64;
 
 impl Controller {
+    /// Handles a report that a worker sent to this controller.
     pub(super) fn on_report(&mut self, request: u64, report: Report) {
         if self.election.holds_claim() {
             let reply = self.answer_local_report(&report);
@@ -23,8 +24,10 @@
         self.report_relay.add(self.now, id, request, report);
     }
 
-    /// A report that came to the leader itself. Its processor is the scarcest, so
-    /// it sends workers on to the others, which relay their reports.
+    /// Answers a report that a worker sent directly to the leader.
+    ///
+    /// The leader's CPU is the scarcest resource, so it redirects workers to the other
+    /// controllers, which relay their reports in batches.
     fn answer_local_report(&mut self, report: &Report) -> ReportReply {
         if self.leads()
             && let Some(node) = self.peers.next_in_reach(self.now)
@@ -44,7 +47,7 @@
         self.outputs.push(Output::Answer { request, answer });
     }
 
-    /// As the leader: answers reports that a peer relays.
+    /// Answers the reports that a peer relayed to this leader.
     pub(super) fn on_relayed_reports(&mut self, node: String, reports: Vec<RelayedReport>) {
         let answers = reports
             .into_iter()
@@ -58,7 +61,7 @@
         self.outputs.push(Output::Peer { node, message });
     }
 
-    /// The leader's replies to reports relayed by us.
+    /// Passes the leader's replies on to the workers whose reports this controller relayed.
     pub(super) fn on_report_replies(&mut self, answers: Vec<RelayedReportReply>) {
         for RelayedReportReply { id, reply } in answers {
             if let Some(request) = self.report_relay.take_request(id) {
@@ -67,15 +70,15 @@
         }
     }
 
-    /// Sends workers elsewhere whose reports got no reply.
+    /// Redirects workers whose relayed reports were not answered in time.
     pub(super) fn expire_relayed_reports(&mut self) {
         for request in self.report_relay.take_expired(self.now) {
             self.answer_worker(request, ReportReply::Redirected(None));
         }
     }
 
-    /// Sends on what has come together, if it is time: one frame costs the leader far
-    /// less than many.
+    /// Sends the collected reports and command replies if a flush is due. One large frame costs
+    /// the leader far less than many small ones.
     pub(super) fn flush_relays(&mut self) {
         if !self.report_relay.take_flush_due(self.now) {
             return;
@@ -109,6 +112,7 @@
         }
     }
 
+    /// Redirects the workers of reports that cannot be relayed.
     fn refuse_reports(&mut self, reports: Vec<RelayedReport>) {
         for RelayedReport { id, .. } in reports {
             if let Some(request) = self.report_relay.take_request(id) {
@@ -118,7 +122,7 @@
     }
 }
 
-/// Parts of at most [`BATCH`], in order.
+/// Splits `items` into consecutive batches of at most [`BATCH_SIZE`].
 fn batches<T>(mut items: Vec<T>) -> impl Iterator<Item = Vec<T>> {
     std::iter::from_fn(move || {
         if items.is_empty() {
