--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -6,7 +6,7 @@
 use crate::store::{JobKey, StoreReply, StoreRequest};
 use crate::wire::{Entry, JobSpec, Page, Transaction};
 
-mod ends_told;
+mod job_end_answers;
 
 fn at(monotonic: Millis) -> Now {
     Now {
