--- a/src/controller/cloud/tests.rs
+++ b/src/controller/cloud/tests.rs
@@ -6,7 +6,7 @@
 
 const START: Millis = 1_000_000;
 
-/// A leader with one machine, whose catalogue was read lately.
+/// A leader with one machine. Its next catalogue read is not due yet.
 fn leader() -> Controller {
     let settings = Settings::parse(SAMPLE).expect("valid settings");
     let mut controller = Controller::new(settings, Policy::default(), 7);
@@ -19,7 +19,7 @@
     controller
 }
 
-/// The requests made since the last look, with the calls they were made by.
+/// Sends the cloud requests that are due and returns them with their call ids.
 fn requests(controller: &mut Controller) -> Vec<(u64, CloudRequest)> {
     controller.advance_cloud();
     controller.delete_decommissioned();
@@ -31,7 +31,8 @@
     requests.collect()
 }
 
-fn only(mut requests: Vec<(u64, CloudRequest)>) -> (u64, CloudRequest) {
+/// Returns the single element of `requests`.
+fn only_request(mut requests: Vec<(u64, CloudRequest)>) -> (u64, CloudRequest) {
     assert_eq!(requests.len(), 1, "{requests:?}");
     requests.remove(0)
 }
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn an_unanswered_machine_request_is_sent_again_as_it_was_until_it_is_answered() {
+fn unanswered_machine_request_is_resent_unchanged_until_answered() {
     let mut controller = leader();
     let shard = controller.shard.as_mut().expect("leads");
     shard.fleet.listing.start();
@@ -61,12 +62,12 @@
         count: 2,
     };
     shard.fleet.add_machine_request(record, 9);
-    let (call, first) = only(requests(&mut controller));
+    let (call, first) = only_request(requests(&mut controller));
     controller.on_cloud_reply(call, CloudReply::Unanswered);
     controller.now += RETRY_MS - 1;
     assert!(requests(&mut controller).is_empty());
     controller.now += 1;
-    let (call, second) = only(requests(&mut controller));
+    let (call, second) = only_request(requests(&mut controller));
     assert_eq!(first, second);
     let machines = vec!["host-2".to_owned()];
     controller.on_cloud_reply(call, CloudReply::Provisioned(MachineNames { machines }));
@@ -82,27 +83,27 @@
 }
 
 #[test]
-fn a_deletion_that_fails_is_tried_again_and_one_at_a_time_is_in_flight() {
+fn failed_deletion_is_retried_with_one_in_flight_at_a_time() {
     let mut controller = leader();
     let shard = controller.shard.as_mut().expect("leads");
     shard.fleet.listing.start();
     let ix = shard.workers.machines.find("host-1").expect("known");
     shard.workers.machines.get_mut(ix).expect("there").decommissioned = true;
-    let (call, _) = only(requests(&mut controller));
+    let (call, _) = only_request(requests(&mut controller));
     assert!(requests(&mut controller).is_empty());
     controller.on_cloud_reply(call, CloudReply::Unavailable);
     assert!(requests(&mut controller).is_empty());
     controller.now += RETRY_MS;
-    let (call, _) = only(requests(&mut controller));
+    let (call, _) = only_request(requests(&mut controller));
     controller.on_cloud_reply(call, CloudReply::Deleted);
     let shard = controller.shard.as_ref().expect("leads");
     assert!(shard.workers.machines.is_empty());
 }
 
 #[test]
-fn a_list_is_read_page_by_page_and_again_from_its_beginning_when_a_page_fails() {
+fn machine_list_restarts_from_first_page_after_failed_page() {
     let mut controller = leader();
-    let list_after = |requests| match only(requests) {
+    let list_after = |requests| match only_request(requests) {
         (call, CloudRequest::List { after }) => (call, after),
         (_, other) => panic!("{other:?}"),
     };
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -9,9 +9,9 @@
 
 const START: Millis = 1_000_000;
 
-/// A leader with one machine and one job, whose first firing went unanswered and
-/// was sent again. Gives the call of the second copy as well.
-fn leader_with_an_unanswered_firing() -> (Controller, u64) {
+/// A leader with one machine and one job, whose first transaction went unanswered and was sent
+/// again. Also returns the call id of the second copy.
+fn leader_with_unanswered_transaction() -> (Controller, u64) {
     let settings = Settings::parse(SAMPLE).expect("valid settings");
     let mut controller = Controller::new(settings, Policy::default(), 7);
     let mut shard = shard_with(3, &[("small", 8.0)], 1, true);
@@ -29,50 +29,52 @@
     controller.election.activate();
     controller.commit();
     controller.send_queued();
-    let first = sent(&std::mem::take(&mut controller.outputs), true);
+    let first = sent_call(&std::mem::take(&mut controller.outputs), true);
     step(&mut controller, first, StoreReply::Unanswered);
     controller.now += RETRY_MS;
     controller.send_queued();
-    let second = sent(&std::mem::take(&mut controller.outputs), true);
+    let second = sent_call(&std::mem::take(&mut controller.outputs), true);
     (controller, second)
 }
 
-/// The call of a transaction, or of a read of one key.
-fn sent(outputs: &[Output], transaction: bool) -> u64 {
+/// The call id among these outputs of the transaction if `is_transaction`, otherwise of the read of
+/// the evidence key.
+fn sent_call(outputs: &[Output], is_transaction: bool) -> u64 {
     let call = outputs.iter().find_map(|output| match output {
         Output::Store { call, request } => match request {
-            StoreRequest::Transact(_) if transaction => Some(*call),
-            StoreRequest::Get(key) if !transaction && *key == "kept/pool/firing/j-1/0" => Some(*call),
+            StoreRequest::Transact(_) if is_transaction => Some(*call),
+            StoreRequest::Get(key) if !is_transaction && *key == "kept/pool/firing/j-1/0" => Some(*call),
             _ => None,
         },
         _ => None,
     });
-    call.expect("sent")
+    call.expect("a matching request")
 }
 
 fn step(controller: &mut Controller, call: u64, reply: StoreReply) {
     controller.on_store_reply(call, reply);
 }
 
-/// The second copy conflicts on that key; gives the call of the look at it.
+/// Lets the second copy conflict on this key. Returns the call id of the read of the evidence key.
 fn conflict(controller: &mut Controller, second: u64, key: &str) -> u64 {
     let failed = vec![key.to_owned()];
     step(controller, second, StoreReply::Conflict { failed });
     controller.send_queued();
-    sent(&std::mem::take(&mut controller.outputs), false)
+    sent_call(&std::mem::take(&mut controller.outputs), false)
 }
 
-fn firing_in_flight(controller: &Controller) -> Value {
-    let flight = controller
+/// The value of the task chunk that the transaction in flight writes.
+fn chunk_in_flight(controller: &Controller) -> Value {
+    let in_flight = controller
         .shard
         .as_ref()
         .and_then(|shard| shard.pending_writes.in_flight());
-    let changes = &flight.expect("in flight").transaction.changes;
+    let changes = &in_flight.expect("a transaction in flight").transaction.changes;
     let value = changes.iter().find_map(|change| match change {
         Change::Put { put, value, .. } if put.contains("firing") => Some(value.clone()),
         _ => None,
     });
-    value.expect("a firing")
+    value.expect("a chunk in the transaction")
 }
 
 fn chunk_version(controller: &Controller) -> u64 {
@@ -88,14 +90,14 @@
         .is_some_and(|shard| shard.pending_writes.is_in_flight())
 }
 
-/// Guards against a read of everything under a new term for each transaction
-/// without an answer (late-leaders of bks-mealkit-host-hunt).
+/// Guards against a full reload under a new term for each unanswered transaction
+/// (late-leaders of bks-mealkit-host-hunt).
 #[test]
-fn a_transaction_that_was_carried_out_without_an_answer_counts_as_committed() {
-    let (mut controller, second) = leader_with_an_unanswered_firing();
-    let value = firing_in_flight(&controller);
-    let look = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
-    step(&mut controller, look, StoreReply::Found { value, version: 12 });
+fn unanswered_transaction_that_was_applied_counts_as_committed() {
+    let (mut controller, second) = leader_with_unanswered_transaction();
+    let value = chunk_in_flight(&controller);
+    let evidence_read = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
+    step(&mut controller, evidence_read, StoreReply::Found { value, version: 12 });
     assert!(!in_flight(&controller) && !controller.term_raise.is_reload_requested());
     assert_eq!(chunk_version(&controller), 12);
     let shard = controller.shard.as_ref().expect("leads");
@@ -109,10 +111,10 @@
 }
 
 #[test]
-fn a_transaction_that_never_was_and_never_will_be_carried_out_is_drafted_anew() {
-    let (mut controller, second) = leader_with_an_unanswered_firing();
-    let look = conflict(&mut controller, second, "live/pool/job/j-1");
-    step(&mut controller, look, StoreReply::Missing);
+fn transaction_that_was_not_applied_is_rebuilt() {
+    let (mut controller, second) = leader_with_unanswered_transaction();
+    let evidence_read = conflict(&mut controller, second, "live/pool/job/j-1");
+    step(&mut controller, evidence_read, StoreReply::Missing);
     assert!(!in_flight(&controller) && !controller.term_raise.is_reload_requested());
     let shard = controller.shard.as_ref().expect("leads");
     assert!(shard.starts_wait());
@@ -126,30 +128,31 @@
 }
 
 #[test]
-fn everything_is_read_again_where_the_key_is_as_nobody_wrote_it() {
-    let (mut controller, second) = leader_with_an_unanswered_firing();
-    let look = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
+fn unexpected_evidence_value_requests_reload() {
+    let (mut controller, second) = leader_with_unanswered_transaction();
+    let evidence_read = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
     let value = serde_json::json!({"next": 9, "done": "", "open": []});
-    step(&mut controller, look, StoreReply::Found { value, version: 12 });
+    step(&mut controller, evidence_read, StoreReply::Found { value, version: 12 });
     assert!(controller.term_raise.is_reload_requested());
 }
 
 #[test]
-fn the_look_is_repeated_until_it_is_answered() {
-    let (mut controller, second) = leader_with_an_unanswered_firing();
-    let look = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
-    step(&mut controller, look, StoreReply::Unanswered);
+fn evidence_read_is_repeated_until_answered() {
+    let (mut controller, second) = leader_with_unanswered_transaction();
+    let evidence_read = conflict(&mut controller, second, "kept/pool/firing/j-1/0");
+    step(&mut controller, evidence_read, StoreReply::Unanswered);
     assert!(in_flight(&controller));
     controller.now += RETRY_MS;
     controller.send_queued();
-    let again = sent(&std::mem::take(&mut controller.outputs), false);
+    let again = sent_call(&std::mem::take(&mut controller.outputs), false);
     step(&mut controller, again, StoreReply::Missing);
     assert!(!in_flight(&controller) && !controller.term_raise.is_reload_requested());
 }
 
-/// A cancelled job's key is changed by others, so it is no evidence.
+/// Users' cancellations change the keys of jobs, so these do not show whether a transaction was
+/// applied.
 #[test]
-fn evidence_is_a_key_of_the_leader_alone() {
+fn evidence_excludes_keys_that_users_change() {
     let put = |key: &str| Change::put(key, serde_json::json!({ "state": JobState::Done }));
     let condition = |key: &str, version| crate::wire::Condition {
         key: key.into(),
@@ -159,7 +162,7 @@
         conditions: vec![condition("live/job/j-1", 4), condition("kept/hire/r", 6)],
         changes: vec![put("live/job/j-1"), Change::delete("kept/hire/r")],
     };
-    let evidence = Evidence::of(&transaction, "live/job/").expect("the machine_request");
+    let evidence = Evidence::of(&transaction, "live/job/").expect("the machine request key");
     assert_eq!((evidence.key.as_str(), evidence.expected_version), ("kept/hire/r", 6));
     assert_eq!(
         evidence.outcome(&StoreReply::Missing),
@@ -167,7 +170,7 @@
     );
     transaction.changes.push(put("kept/end/j-1"));
     transaction.conditions.push(condition("kept/end/j-1", 0));
-    let evidence = Evidence::of(&transaction, "live/job/").expect("the end");
+    let evidence = Evidence::of(&transaction, "live/job/").expect("the end key");
     assert_eq!(evidence.key, "kept/end/j-1");
     assert_eq!(evidence.outcome(&StoreReply::Missing), CommitOutcome::NotApplied);
 }
--- a/src/controller/store_purpose.rs
+++ b/src/controller/store_purpose.rs
@@ -54,8 +54,8 @@
     MachineRequests,
     /// The watched keys, up to a revision after the claim.
     WatchCache,
-    /// The open attempts and done tasks of jobs.
-    Firings,
+    /// The open attempts and done tasks of jobs, in chunks of tasks.
+    TaskChunks,
 }
 
 impl Purpose {
--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -19,7 +19,7 @@
             LoadStage::Machines => self.keys.inventories(),
             LoadStage::MachineRequests => self.keys.machine_requests(),
             LoadStage::WatchCache => self.keys.watched(),
-            LoadStage::Firings => self.keys.firings(),
+            LoadStage::TaskChunks => self.keys.firings(),
         };
         self.enqueue(Purpose::Load(stage), StoreRequest::List { prefix, after });
     }
@@ -33,7 +33,7 @@
             self.load_progress.answered(self.now);
         }
         if stage == LoadStage::WatchCache && self.load_jobs(&reply) {
-            self.load_page(LoadStage::Firings, String::new());
+            self.load_page(LoadStage::TaskChunks, String::new());
             return;
         }
         match reply {
@@ -71,11 +71,11 @@
             LoadStage::Machines => shard.load_group(self.now, tail(entry, &self.keys.inventories()), entry),
             LoadStage::MachineRequests => shard.load_machine_request(entry),
             LoadStage::WatchCache => {}
-            LoadStage::Firings => self.load_firing(entry),
+            LoadStage::TaskChunks => self.load_task_chunk(entry),
         }
     }
 
-    fn load_firing(&mut self, entry: &Entry) {
+    fn load_task_chunk(&mut self, entry: &Entry) {
         let Some(shard) = &mut self.shard else {
             return;
         };
@@ -94,13 +94,13 @@
     fn load_next_stage(&mut self, stage: LoadStage) {
         match stage {
             LoadStage::Machines => self.load_page(LoadStage::MachineRequests, String::new()),
-            // The watch cache must be newer than the claim before the `Firings` stage starts.
+            // The watch cache must be newer than the claim before the `TaskChunks` stage starts.
             LoadStage::MachineRequests => {
                 let request = self.watch_request(0);
                 self.enqueue(Purpose::Load(LoadStage::WatchCache), request);
             }
             LoadStage::WatchCache => {}
-            LoadStage::Firings => self.on_loaded(),
+            LoadStage::TaskChunks => self.on_loaded(),
         }
     }
 
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -24,7 +24,8 @@
     }
 }
 
-/// Numbers of what an incarnation of a controller asks first: services, and peers.
+/// The first ids that an incarnation of a controller uses, for calls to services and for requests
+/// to peers.
 fn first_ids(incarnation: u64) -> (u64, u64) {
     let settings = Settings::parse(SAMPLE).expect("valid settings");
     let node = settings.peers[0].node.clone();
@@ -42,10 +43,13 @@
         } => Some(*id),
         _ => None,
     });
-    (controller.next_call_id(), forward.expect("forwarded to the leader"))
+    (
+        controller.next_call_id(),
+        forward.expect("a request forwarded to the leader"),
+    )
 }
 
-/// A state service that answers a new leader's first pages slowly.
+/// A state service that returns the pages of a new leader's loading slowly.
 struct SlowStore {
     pages_left: i32,
     due: Vec<DueReply>,
@@ -57,7 +61,7 @@
     reply: StoreReply,
 }
 
-const SLOW_MS: Millis = 2_500;
+const PAGE_DELAY_MS: Millis = 2_500;
 
 impl SlowStore {
     /// Takes out the replies that are due.
@@ -77,7 +81,7 @@
             StoreRequest::List { prefix, .. } => {
                 self.pages_left -= i32::from(self.pages_left > 0);
                 let more = self.pages_left > 0;
-                (SLOW_MS, page(format!("{prefix}{}", self.pages_left), more))
+                (PAGE_DELAY_MS, page(format!("{prefix}{}", self.pages_left), more))
             }
             StoreRequest::Watch { wait_ms: 0, .. } => (10, empty_log()),
             _ => return,
@@ -105,10 +109,10 @@
     })
 }
 
-/// Guards against beginning to load anew for ever: a full store that answers
-/// slowly takes longer than any fixed time.
+/// Guards against a new leader that restarts loading again and again. With a time limit on loading
+/// as a whole, a full store that answers slowly would exceed it every time.
 #[test]
-fn loading_goes_on_as_long_as_answers_come() {
+fn loading_continues_while_replies_arrive() {
     let settings = Settings::parse(SAMPLE).expect("valid settings");
     let node = settings.peers[0].node.clone();
     let mut controller = Controller::new(settings, Policy::default(), 7);
@@ -134,13 +138,13 @@
         monotonic += 50;
     }
     assert!(controller.leads());
-    assert!(monotonic > 1_000_000 + 4 * SLOW_MS, "it was slow indeed");
+    assert!(monotonic > 1_000_000 + 4 * PAGE_DELAY_MS, "every page was delayed");
 }
 
-/// Guards against taking a peer's answer to a former incarnation of this process,
-/// about another job or machine, for one to this incarnation.
+/// Guards against mistaking a peer's reply to an earlier incarnation of this process, about
+/// another job or machine, for a reply to this incarnation.
 #[test]
-fn an_answer_to_a_former_life_fits_no_request() {
+fn request_ids_of_different_incarnations_do_not_overlap() {
     let (first, second) = (first_ids(0x1000_0000_0000), first_ids(0x2000_0000_0000));
     assert!(first.0.abs_diff(second.0) > 1 << 32);
     assert!(first.1.abs_diff(second.1) > 1 << 32);
@@ -158,7 +162,7 @@
     }
 }
 
-/// The watched keys: this job, and a claim by that node.
+/// A page of the watched keys with this job and a claim by this node.
 fn watched_page(key: &JobKey, node: &str) -> StoreReply {
     let job = Entry {
         key: "live/pool/job/j-7".into(),
@@ -190,8 +194,8 @@
     }
 }
 
-/// Term, time of the request and cancelled jobs of the promise given.
-fn extension_granted(outputs: Vec<Output>) -> Option<(u64, Millis, Vec<CancelledJob>)> {
+/// The term, request time and cancelled jobs of the extension grant among these outputs, if any.
+fn granted_extension(outputs: Vec<Output>) -> Option<(u64, Millis, Vec<CancelledJob>)> {
     outputs.into_iter().find_map(|output| match output {
         Output::Peer {
             message:
@@ -206,21 +210,21 @@
     })
 }
 
-/// The last call to the state service.
+/// The call id of the last request to the state service among these outputs.
 fn last_store_call(outputs: &[Output]) -> u64 {
     let calls = outputs.iter().filter_map(|output| match output {
         Output::Store { call, .. } => Some(*call),
         _ => None,
     });
-    calls.max().expect("asked")
+    calls.max().expect("a request to the state service")
 }
 
-/// Guards against the gap: the state service refuses the leader alone, another
-/// controller confirms a cancellation, and then nobody reaches it. With its
-/// promise not to claim a controller tells the leader of what was cancelled; while
-/// it can still confirm cancellations it promises nothing.
+/// Guards against a leader on a lease extension that does not know of a cancellation. First only
+/// the leader loses the state service and another controller confirms a cancellation; then no
+/// controller can reach the service. The other controller therefore lists cancelled jobs in its
+/// grant, and grants nothing while it can still confirm cancellations.
 #[test]
-fn a_promise_tells_of_what_was_cancelled() {
+fn extension_grant_lists_cancelled_jobs() {
     let settings = Settings::parse(SAMPLE).expect("valid settings");
     let node = settings.peers[0].node.clone();
     let key = cancelled_job();
@@ -233,22 +237,22 @@
     let call = last_store_call(&step(Input::Tick));
     let reply = watched_page(&key, &node);
     let outputs = step(Input::Store { call, reply });
-    // The state service answers: no promise.
-    assert_eq!(extension_granted(step(extension_request(&node, 8))), None);
+    // No grant while the state service answers.
+    assert_eq!(granted_extension(step(extension_request(&node, 8))), None);
     let call = last_store_call(&outputs);
     let reply = StoreReply::Unavailable;
     step(Input::Store { call, reply });
     let cancelled = vec![CancelledJob { key, version: 9 }];
-    let granted = extension_granted(step(extension_request(&node, 8)));
+    let granted = granted_extension(step(extension_request(&node, 8)));
     assert_eq!(granted, Some((3, 5, cancelled)));
-    let granted = extension_granted(step(extension_request(&node, 9)));
+    let granted = granted_extension(step(extension_request(&node, 9)));
     assert_eq!(granted, Some((3, 5, Vec::new())));
 }
 
-/// Guards against submissions that wait for seconds behind starts and clean-ups when
-/// many come at once (inc-a48c: 0.58 of them within 200 ms).
+/// Guards against submissions that wait for seconds behind the writes for starts and clean-up when
+/// many arrive at once. In one incident only 0.58 of them were answered within 200 ms.
 #[test]
-fn users_writes_get_more_of_the_rate_while_they_wait() {
+fn queued_user_writes_get_a_larger_rate_share() {
     let settings = Settings::parse(SAMPLE).expect("valid settings");
     let mut controller = Controller::new(settings, Policy::default(), 7);
     let before = controller.store_client.rate_shares(Phase::Active);
@@ -257,5 +261,5 @@
     let after = controller.store_client.rate_shares(Phase::Active);
     assert!(after.user_writes > 2.0 * before.user_writes && after.writes < before.writes);
     let (all_before, all_after) = (before.writes + before.user_writes, after.writes + after.user_writes);
-    assert!(all_after <= all_before + 1e-9, "no more in all");
+    assert!(all_after <= all_before + 1e-9, "the total share does not grow");
 }
--- a/src/controller/tests/job_end_answers.rs
+++ b/src/controller/tests/job_end_answers.rs
@@ -1,21 +1,10 @@
-//! What a controller has told of a job's end overtakes whatever else it was about to answer.
+//! Tests that no request is answered with an older state of a job after its end was reported.
 //!
-//! What happened (meetings, seed 146: job j-000008 through controller n4, times in ms):
-//!
-//! ```text
-//! [59341] n4 IN  request 782 Show("j-000008")
-//! [59558] n4 IN  request 786 Cancel("j-000008")
-//! [59574] n6 OUT Transact: kept/pool/end/j-000008, live/pool/job/j-000008 "ended": "aborted"
-//! [59588] n4 IN  ForwardReply of n6: "aborted"
-//! [59588] n4 OUT Answer to 786: "standing":"aborted"
-//! [59664] n4 OUT Answer to 782: "standing":"running","running":1
-//! ```
-//!
-//! A poll waited for its confirming read, whose reply took 320 ms and was as old as its
-//! execution. Meanwhile the cancellation was forwarded, committed by the leader and answered
-//! through the same controller, which passed the answer on without noting it. Its watch
-//! cache learns of an end up to 150 ms later, so the poll was answered from the older
-//! state: 76 ms after "aborted", and the rule `went_back` was broken.
+//! Seen in `meetings` with seed 146: a poll of a job waited for its confirming read, whose reply
+//! took 320 ms to arrive and was as old as its execution. Meanwhile a cancellation of the job was
+//! forwarded to the leader, committed and answered through the same controller, which did not
+//! remember the end. Its watch cache learns of an end up to 150 ms later, so the poll was answered
+//! "running" 76 ms after the cancellation was answered "aborted", which broke the rule `went_back`.
 
 use super::*;
 
@@ -24,7 +13,7 @@
 const CANCELLATION: u64 = 2;
 const SUBMISSION: u64 = 3;
 
-/// A controller with one peer, whose state service answers when the test says so.
+/// A controller with one peer. The test supplies all replies of the state service and the peer.
 struct Fixture {
     controller: Controller,
     monotonic: Millis,
@@ -32,7 +21,8 @@
 }
 
 impl Fixture {
-    /// Knows the watched keys of this page, and whether the peer leads.
+    /// Creates a controller whose watch cache holds the keys of `page`. The peer leads under
+    /// `leading_term`, if given.
     fn new(page: StoreReply, leading_term: Option<u64>) -> Fixture {
         let settings = Settings::parse(SAMPLE).expect("valid settings");
         let peer = settings.peers[0].node.clone();
@@ -43,7 +33,7 @@
         };
         let call = last_store_call(&fixture.step(Input::Tick));
         fixture.reply(call, page);
-        fixture.hear(heartbeat(&fixture.peer.clone(), leading_term));
+        fixture.receive_from_peer(heartbeat(&fixture.peer.clone(), leading_term));
         fixture
     }
 
@@ -52,27 +42,27 @@
         self.controller.step(at(self.monotonic), input)
     }
 
-    fn hear(&mut self, message: Message) -> Vec<Output> {
+    fn receive_from_peer(&mut self, message: Message) -> Vec<Output> {
         let node = self.peer.clone();
         let message = Box::new(message);
         self.step(Input::Peer { node, message })
     }
 
-    fn ask(&mut self, request: u64, user_request: UserRequest) -> Vec<Output> {
+    fn send_user_request(&mut self, request: u64, user_request: UserRequest) -> Vec<Output> {
         self.step(Input::User { request, user_request })
     }
 
     fn poll(&mut self) -> Vec<Output> {
-        self.ask(POLL, UserRequest::Show(JOB.into()))
+        self.send_user_request(POLL, UserRequest::Show(JOB.into()))
     }
 
     fn submit(&mut self) -> Vec<Output> {
         let body = serde_json::json!(unfinished_job().spec).to_string();
-        self.ask(SUBMISSION, UserRequest::Submit(body))
+        self.send_user_request(SUBMISSION, UserRequest::Submit(body))
     }
 
-    /// The peer answers the request that these outputs forward to it.
-    fn peer_answers(&mut self, forwarded: &[Output], standing: &str) -> Vec<Output> {
+    /// Delivers the peer's answer to the request that was forwarded to it in these outputs.
+    fn answer_from_peer(&mut self, forwarded: &[Output], standing: &str) -> Vec<Output> {
         let id = forwarded.iter().find_map(|output| match output {
             Output::Peer {
                 message: Message::ForwardRequest { id, .. },
@@ -85,15 +75,15 @@
             body: serde_json::json!({"id": JOB, "standing": standing}).to_string(),
             retry_after_s: None,
         };
-        let id = id.expect("forwarded to the peer");
-        self.hear(Message::ForwardReply { id, answer })
+        let id = id.expect("a request forwarded to the peer");
+        self.receive_from_peer(Message::ForwardReply { id, answer })
     }
 
-    /// A user cancels the job, which the leader confirms.
+    /// Cancels the job for a user. The leader, which is the peer, confirms the cancellation.
     fn cancel_through_leader(&mut self) {
-        let forwarded = self.ask(CANCELLATION, UserRequest::Cancel(JOB.into()));
-        let told = self.peer_answers(&forwarded, "aborted");
-        assert_eq!(standing_in_answer(&told, CANCELLATION).as_deref(), Some("aborted"));
+        let forwarded = self.send_user_request(CANCELLATION, UserRequest::Cancel(JOB.into()));
+        let outputs = self.answer_from_peer(&forwarded, "aborted");
+        assert_eq!(standing_in_answer(&outputs, CANCELLATION).as_deref(), Some("aborted"));
     }
 
     fn reply(&mut self, call: u64, reply: StoreReply) -> Vec<Output> {
@@ -101,16 +91,16 @@
     }
 }
 
-/// The answer to a request among these outputs.
-fn answer_to(outputs: &[Output], asked: u64) -> Option<&Answer> {
+/// The answer to the request with this number among these outputs, if any.
+fn answer_to(outputs: &[Output], request_number: u64) -> Option<&Answer> {
     outputs.iter().find_map(|output| match output {
-        Output::Answer { request, answer } if *request == asked => Some(answer),
+        Output::Answer { request, answer } if *request == request_number => Some(answer),
         _ => None,
     })
 }
 
-fn standing_in_answer(outputs: &[Output], asked: u64) -> Option<String> {
-    let body: serde_json::Value = serde_json::from_str(&answer_to(outputs, asked)?.body).expect("json");
+fn standing_in_answer(outputs: &[Output], request_number: u64) -> Option<String> {
+    let body: serde_json::Value = serde_json::from_str(&answer_to(outputs, request_number)?.body).expect("json");
     Some(body["standing"].as_str()?.to_owned())
 }
 
@@ -121,8 +111,8 @@
     key
 }
 
-/// The watched keys: this one.
-fn watched(key: String, value: serde_json::Value) -> StoreReply {
+/// A page of the watched keys with only this key.
+fn watched_page_with(key: String, value: serde_json::Value) -> StoreReply {
     StoreReply::Page(Page {
         items: vec![Entry { key, value, version: 9 }],
         more: false,
@@ -131,18 +121,18 @@
 }
 
 fn page_with_job() -> StoreReply {
-    watched(format!("live/pool/job/{JOB}"), serde_json::json!(unfinished_job()))
+    watched_page_with(format!("live/pool/job/{JOB}"), serde_json::json!(unfinished_job()))
 }
 
-/// The catalogue and no job.
+/// A page of the watched keys with the catalogue and no job.
 fn page_without_job() -> StoreReply {
     let catalogue = serde_json::json!({"rigs": [{"name": "small", "cores": 8.0, "cards": 0, "memGb": 32.0,
         "cacheGb": 50.0, "pullGbPerS": 1.0, "hourly": 1.0, "spotPrice": 0.5, "bootS": 10.0, "yards": ["north"]}]});
-    watched("live/pool/catalogue".into(), catalogue)
+    watched_page_with("live/pool/catalogue".into(), catalogue)
 }
 
-/// The reply to a confirming read that was executed before anything changed.
-fn nothing_changed() -> StoreReply {
+/// The reply to a confirming read that was executed before any change.
+fn empty_log_reply() -> StoreReply {
     StoreReply::Log(crate::wire::Log {
         revision: 9,
         events: Vec::new(),
@@ -150,130 +140,125 @@
 }
 
 #[test]
-fn a_poll_read_before_a_cancellation_is_not_answered_as_running_after_it() {
+fn poll_with_older_read_reports_later_cancellation() {
     let mut fixture = Fixture::new(page_with_job(), Some(3));
     let slow_read = last_store_call(&fixture.poll());
     fixture.cancel_through_leader();
-    let told = fixture.reply(slow_read, nothing_changed());
-    assert_eq!(standing_in_answer(&told, POLL).as_deref(), Some("aborted"));
+    let outputs = fixture.reply(slow_read, empty_log_reply());
+    assert_eq!(standing_in_answer(&outputs, POLL).as_deref(), Some("aborted"));
 }
 
-/// The same where the leader was asked in place of the state service.
+/// Guards against the same fault where the older state came from the leader in place of the state
+/// service.
 #[test]
-fn an_older_answer_of_the_leader_is_not_passed_on_after_a_cancellation() {
+fn older_answer_of_leader_is_replaced_after_cancellation() {
     let mut fixture = Fixture::new(page_with_job(), Some(3));
     let forwarded = fixture.submit();
     fixture.cancel_through_leader();
-    let told = fixture.peer_answers(&forwarded, "running");
-    assert_eq!(standing_in_answer(&told, SUBMISSION).as_deref(), Some("aborted"));
+    let outputs = fixture.answer_from_peer(&forwarded, "running");
+    assert_eq!(standing_in_answer(&outputs, SUBMISSION).as_deref(), Some("aborted"));
 }
 
-/// The user hears of the end also where the read itself fails.
+/// A known end is also reported if the confirming read of the poll fails.
 #[test]
-fn a_poll_whose_read_fails_after_a_cancellation_is_answered_with_it() {
+fn poll_with_failed_read_reports_known_cancellation() {
     let mut fixture = Fixture::new(page_with_job(), Some(3));
     let read = last_store_call(&fixture.poll());
     fixture.cancel_through_leader();
-    let told = fixture.reply(read, StoreReply::Unavailable);
-    assert_eq!(standing_in_answer(&told, POLL).as_deref(), Some("aborted"));
+    let outputs = fixture.reply(read, StoreReply::Unavailable);
+    assert_eq!(standing_in_answer(&outputs, POLL).as_deref(), Some("aborted"));
 }
 
-/// A job is accepted between the reads that did not find it and their answer, which
-/// must not deny it.
+/// Guards against a "not found" answer for a job that was accepted after the reads of the poll were
+/// executed and before the poll was answered.
 #[test]
-fn a_job_accepted_meanwhile_is_not_denied() {
+fn poll_does_not_deny_job_accepted_in_the_meantime() {
     let mut fixture = Fixture::new(page_without_job(), None);
     let confirming_read = last_store_call(&fixture.poll());
-    let read_of_end = last_store_call(&fixture.reply(confirming_read, nothing_changed()));
+    let end_read = last_store_call(&fixture.reply(confirming_read, empty_log_reply()));
     let write = last_store_call(&fixture.submit());
     let accepted = fixture.reply(write, StoreReply::Committed { revision: 12 });
-    assert_eq!(answer_to(&accepted, SUBMISSION).expect("told").status, 201);
-    let told = fixture.reply(read_of_end, StoreReply::Missing);
-    assert_eq!(answer_to(&told, POLL).expect("told").status, 503);
+    assert_eq!(answer_to(&accepted, SUBMISSION).expect("an answer").status, 201);
+    let outputs = fixture.reply(end_read, StoreReply::Missing);
+    assert_eq!(answer_to(&outputs, POLL).expect("an answer").status, 503);
 }
 
-/// One controller can't know what another has told. What happened (meetings, seed 525:
-/// job j-000017, times in ms; seed 692 likewise with a repeated submission):
-///
-/// ```text
-/// [100151] n2 IN  request 1625 Show("j-000017")
-/// [100401] n1 IN  request 1634 Cancel("j-000017")
-/// [100431] n1 OUT Answer to 1634: "standing":"aborted"
-/// [100435] n2 OUT Answer to 1625: "standing":"running","running":6
-/// ```
+/// Guards against a poll at one controller that is answered "running" after another controller
+/// reported the cancellation. Seen in `meetings` with seed 525, where the poll was answered 4 ms
+/// after the cancellation, and with seed 692 for a repeated submission.
 ///
-/// So a cancellation is told only once the other controllers have answered a question about
-/// the job that was asked after its commit: by then they have answered all that they had
-/// read before, or know of the end.
+/// A cancellation is answered only after the other controllers have replied to a query about the
+/// job that was sent after the commit. By then they have answered all requests that they had read
+/// an older state for, or they know of the end.
 #[test]
-fn a_cancellation_is_told_once_the_other_controllers_know_of_it() {
+fn cancellation_is_answered_after_peers_confirm_it() {
     let mut fixture = Fixture::new(page_with_job(), None);
     let committed = fixture.commit_cancellation();
     assert_eq!(answer_to(&committed, CANCELLATION), None);
-    let told = fixture.peer_answers(&committed, "aborted");
-    assert_eq!(standing_in_answer(&told, CANCELLATION).as_deref(), Some("aborted"));
+    let outputs = fixture.answer_from_peer(&committed, "aborted");
+    assert_eq!(standing_in_answer(&outputs, CANCELLATION).as_deref(), Some("aborted"));
 }
 
-/// A repeated cancellation may reach a controller that did not confirm the first: while
-/// the job's key is there, and after it was cleaned up.
+/// A repeated cancellation may reach a controller that did not confirm the first one, either while
+/// the job's key still exists or after it was deleted. In both cases the answer waits for the peers.
 #[test]
-fn a_cancellation_confirmed_elsewhere_is_told_in_the_same_way() {
+fn cancellation_confirmed_elsewhere_also_waits_for_peers() {
     let mut ended = cancelled_job();
     ended.spec.id = JOB.into();
-    let page = watched(format!("live/pool/job/{JOB}"), serde_json::json!(ended));
+    let page = watched_page_with(format!("live/pool/job/{JOB}"), serde_json::json!(ended));
     let mut fixture = Fixture::new(page, None);
-    let read = last_store_call(&fixture.ask(CANCELLATION, UserRequest::Cancel(JOB.into())));
-    let confirmed = fixture.reply(read, nothing_changed());
+    let read = last_store_call(&fixture.send_user_request(CANCELLATION, UserRequest::Cancel(JOB.into())));
+    let confirmed = fixture.reply(read, empty_log_reply());
     assert_eq!(answer_to(&confirmed, CANCELLATION), None);
-    let told = fixture.peer_answers(&confirmed, "aborted");
-    assert_eq!(standing_in_answer(&told, CANCELLATION).as_deref(), Some("aborted"));
+    let outputs = fixture.answer_from_peer(&confirmed, "aborted");
+    assert_eq!(standing_in_answer(&outputs, CANCELLATION).as_deref(), Some("aborted"));
 
     let mut fixture = Fixture::new(page_without_job(), None);
-    let read = last_store_call(&fixture.ask(CANCELLATION, UserRequest::Cancel(JOB.into())));
-    let read_of_end = last_store_call(&fixture.reply(read, nothing_changed()));
+    let read = last_store_call(&fixture.send_user_request(CANCELLATION, UserRequest::Cancel(JOB.into())));
+    let end_read = last_store_call(&fixture.reply(read, empty_log_reply()));
     let (value, version) = (serde_json::json!({"state": "aborted"}), 8);
-    let found = fixture.reply(read_of_end, StoreReply::Found { value, version });
+    let found = fixture.reply(end_read, StoreReply::Found { value, version });
     assert_eq!(answer_to(&found, CANCELLATION), None);
-    let told = fixture.peer_answers(&found, "aborted");
-    assert_eq!(standing_in_answer(&told, CANCELLATION).as_deref(), Some("aborted"));
+    let outputs = fixture.answer_from_peer(&found, "aborted");
+    assert_eq!(standing_in_answer(&outputs, CANCELLATION).as_deref(), Some("aborted"));
 }
 
-/// A poll is given up after 1.7 s: by then nothing older can be told by a controller that
-/// does not answer, in reach or not.
+/// Polls time out after 1.7 s. After that time a controller that does not reply, reachable or not,
+/// can no longer report an older state, so the cancellation need not wait longer.
 #[test]
-fn a_cancellation_does_not_wait_for_ever_for_a_controller_that_is_silent() {
+fn cancellation_is_answered_after_timeout_if_peer_is_silent() {
     for silent_for in [0, 5_000] {
         let mut fixture = Fixture::new(page_with_job(), None);
         fixture.monotonic += silent_for;
         let committed = fixture.commit_cancellation();
         assert_eq!(answer_to(&committed, CANCELLATION), None);
-        let commit_attempted_at = fixture.monotonic;
-        let mut told = Vec::new();
-        while standing_in_answer(&told, CANCELLATION).is_none() && fixture.monotonic < commit_attempted_at + 5_000 {
-            told = fixture.step(Input::Tick);
+        let committed_at = fixture.monotonic;
+        let mut outputs = Vec::new();
+        while standing_in_answer(&outputs, CANCELLATION).is_none() && fixture.monotonic < committed_at + 5_000 {
+            outputs = fixture.step(Input::Tick);
         }
-        assert_eq!(standing_in_answer(&told, CANCELLATION).as_deref(), Some("aborted"));
-        let waited = fixture.monotonic - commit_attempted_at;
+        assert_eq!(standing_in_answer(&outputs, CANCELLATION).as_deref(), Some("aborted"));
+        let waited = fixture.monotonic - committed_at;
         assert!((1_700..2_000).contains(&waited), "{waited} ms");
     }
 }
 
 impl Fixture {
-    /// Cancels the job here, up to the commit. Returns what follows from that.
+    /// Cancels the job through this controller up to the commit. Returns the outputs after it.
     fn commit_cancellation(&mut self) -> Vec<Output> {
-        let read = last_store_call(&self.ask(CANCELLATION, UserRequest::Cancel(JOB.into())));
-        let write = last_store_call(&self.reply(read, nothing_changed()));
+        let read = last_store_call(&self.send_user_request(CANCELLATION, UserRequest::Cancel(JOB.into())));
+        let write = last_store_call(&self.reply(read, empty_log_reply()));
         self.reply(write, StoreReply::Committed { revision: 12 })
     }
 }
 
 /// Known to fail, see KNOWN-RED.txt. The end is remembered when the wait for the other controllers
-/// begins, and a repeated cancellation is answered at once with an end that is remembered: the
-/// user is told before the others know. It should be remembered when it is told.
+/// begins, and a repeated cancellation is answered immediately with the remembered end, before the
+/// other controllers know of it. The end should be remembered only when it is reported to a user.
 #[test]
-fn a_repeated_cancellation_waits_as_the_first_does() {
+fn repeated_cancellation_waits_for_peers_like_the_first() {
     let mut fixture = Fixture::new(page_with_job(), None);
     fixture.commit_cancellation();
-    let repeated = fixture.ask(SUBMISSION, UserRequest::Cancel(JOB.into()));
+    let repeated = fixture.send_user_request(SUBMISSION, UserRequest::Cancel(JOB.into()));
     assert_eq!(answer_to(&repeated, SUBMISSION), None);
 }
