--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -50,8 +50,8 @@
         }
         match reply {
             StoreReply::Granted { lease } => {
-                let sent = self.election.lease_requested_at();
-                match self.election.granted(lease, sent, &self.keys, &self.watch_cache) {
+                let sent_at = self.election.lease_requested_at();
+                match self.election.granted(lease, sent_at, &self.keys, &self.watch_cache) {
                     Some(transaction) => self.send_claim(transaction),
                     None => self.step_down(0),
                 }
@@ -61,7 +61,7 @@
     }
 
     /// Handles the reply to a claim transaction.
-    pub(super) fn on_claim_reply(&mut self, transaction: Arc<Transaction>, sent: Millis, reply: StoreReply) {
+    pub(super) fn on_claim_reply(&mut self, transaction: Arc<Transaction>, sent_at: Millis, reply: StoreReply) {
         if self.election.phase() != Phase::Claiming {
             return;
         }
@@ -69,10 +69,10 @@
             StoreReply::Committed { revision } => self.on_claim_committed(revision),
             // The claim may have been applied. Sending it again either applies it or conflicts;
             // after a conflict, reading the claim shows whose it is.
-            StoreReply::Unanswered | StoreReply::Unavailable if self.now < sent + crate::election::LEASE_MS => {
+            StoreReply::Unanswered | StoreReply::Unavailable if self.now < sent_at + crate::election::LEASE_MS => {
                 let purpose = Purpose::Claim {
                     transaction: transaction.clone(),
-                    sent,
+                    sent_at,
                 };
                 self.enqueue_after(RETRY_MS, purpose, StoreRequest::Transact(transaction));
             }
@@ -125,11 +125,11 @@
         self.placement_rounds.request();
     }
 
-    /// Handles the reply to the lease renewal that was sent at `sent`.
-    pub(super) fn on_renew_reply(&mut self, sent: Millis, reply: StoreReply) {
+    /// Handles the reply to the lease renewal that was sent at `sent_at`.
+    pub(super) fn on_renew_reply(&mut self, sent_at: Millis, reply: StoreReply) {
         match reply {
             StoreReply::Renewed => {
-                self.election.renewed(self.now, sent);
+                self.election.renewed(self.now, sent_at);
                 if self.election.is_suspended() {
                     self.refresh_watch_cache();
                 }
@@ -142,13 +142,13 @@
         }
     }
 
-    /// Notes that the watch cache includes everything written before `sent`.
+    /// Notes that the watch cache includes everything written before `sent_at`.
     ///
     /// After its leadership expired, a leader needs such a read before it acts again: a job may
     /// have been cancelled and another controller may have claimed the shard in the meantime.
-    pub(super) fn on_watch_cache_read(&mut self, sent: Millis) {
-        self.election.watch_cache_read(sent);
-        if !self.election.may_resume(self.now, sent) {
+    pub(super) fn on_watch_cache_read(&mut self, sent_at: Millis) {
+        self.election.watch_cache_read(sent_at);
+        if !self.election.may_resume(self.now, sent_at) {
             return;
         }
         let claim = self.watch_cache.leader();
@@ -216,7 +216,7 @@
         let transaction = Arc::new(transaction);
         let purpose = Purpose::Claim {
             transaction: transaction.clone(),
-            sent: self.now,
+            sent_at: self.now,
         };
         self.enqueue(purpose, StoreRequest::Transact(transaction));
     }
@@ -233,7 +233,8 @@
         if !is_needed || !self.election.is_lease_valid(self.now) || !self.term_raise.is_allowed(self.now) {
             return false;
         }
-        // A transaction in flight depends on the current version of the claim.
+        // From here on no new transaction is sent. One in flight depends on the current version of
+        // the claim, so unless everything is reloaded, the new claim waits for its outcome.
         self.term_raise.begin();
         if !is_reload_requested && shard.pending_writes.is_in_flight() {
             return false;
--- a/src/controller/cloud/tests.rs
+++ b/src/controller/cloud/tests.rs
@@ -52,7 +52,7 @@
 #[test]
 fn unanswered_machine_request_is_resent_unchanged_until_answered() {
     let mut controller = leader();
-    let shard = controller.shard.as_mut().expect("leads");
+    let shard = controller.shard.as_mut().expect("the shard of a leader");
     shard.fleet.listing.start();
     let record = MachineRequestRecord {
         request: "pool-3-0".into(),
@@ -71,7 +71,7 @@
     assert_eq!(first, second);
     let machines = vec!["host-2".to_owned()];
     controller.on_cloud_reply(call, CloudReply::Provisioned(MachineNames { machines }));
-    let shard = controller.shard.as_ref().expect("leads");
+    let shard = controller.shard.as_ref().expect("the shard of a leader");
     assert!(shard.workers.machines.find("host-2").is_some());
     let answered = shard.pending_writes.answered_requests();
     let answered: Vec<_> = answered
@@ -85,10 +85,15 @@
 #[test]
 fn failed_deletion_is_retried_with_one_in_flight_at_a_time() {
     let mut controller = leader();
-    let shard = controller.shard.as_mut().expect("leads");
+    let shard = controller.shard.as_mut().expect("the shard of a leader");
     shard.fleet.listing.start();
-    let ix = shard.workers.machines.find("host-1").expect("known");
-    shard.workers.machines.get_mut(ix).expect("there").decommissioned = true;
+    let ix = shard.workers.machines.find("host-1").expect("a known machine");
+    shard
+        .workers
+        .machines
+        .get_mut(ix)
+        .expect("an existing machine")
+        .decommissioned = true;
     let (call, _) = only_request(requests(&mut controller));
     assert!(requests(&mut controller).is_empty());
     controller.on_cloud_reply(call, CloudReply::Unavailable);
@@ -96,7 +101,7 @@
     controller.now += RETRY_MS;
     let (call, _) = only_request(requests(&mut controller));
     controller.on_cloud_reply(call, CloudReply::Deleted);
-    let shard = controller.shard.as_ref().expect("leads");
+    let shard = controller.shard.as_ref().expect("the shard of a leader");
     assert!(shard.workers.machines.is_empty());
 }
 
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Returns the changes to the pending writes after a concurrent user write, such as a
-    /// cancellation, prevented the transaction, and refreshes the watch cache to learn of that
+    /// Puts the changes of the transaction back into the pending writes, after a concurrent write
+    /// for a user, such as a cancellation, prevented it. Refreshes the watch cache to learn of that
     /// write.
     fn commit_not_applied(&mut self) {
         if let Some(shard) = &mut self.shard {
--- a/src/controller/commits/evidence.rs
+++ b/src/controller/commits/evidence.rs
@@ -57,8 +57,7 @@
         match (reply, &self.value) {
             (StoreReply::Found { version, .. }, _) if *version == self.expected_version => CommitOutcome::NotApplied,
             (StoreReply::Missing, Some(_)) if self.expected_version == 0 => CommitOutcome::NotApplied,
-            // Only the leader deletes this key. The transaction puts no key that could be
-            // evidence, so its revision is not needed.
+            // Only the leader deletes this key. The revision is not needed, since nothing was put.
             (StoreReply::Missing, None) => CommitOutcome::Applied { revision: 0 },
             (StoreReply::Found { value, version }, Some(written)) if value == written => {
                 CommitOutcome::Applied { revision: *version }
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -16,7 +16,7 @@
     let mut controller = Controller::new(settings, Policy::default(), 7);
     let mut shard = shard_with(3, &[("small", 8.0)], 1, true);
     let machine = shard.add_machine(0, "host-1", "small", "north", true);
-    let machine = shard.workers.machines.get_mut(machine).expect("there");
+    let machine = shard.workers.machines.get_mut(machine).expect("an existing machine");
     machine.written = true;
     machine.heard_at = Some(START);
     machine.report_due = Millis::MAX;
@@ -78,9 +78,9 @@
 }
 
 fn chunk_version(controller: &Controller) -> u64 {
-    let shard = controller.shard.as_ref().expect("leads");
+    let shard = controller.shard.as_ref().expect("the shard of a leader");
     let job = shard.jobs.table.find("j-1").and_then(|ix| shard.jobs.table.get(ix));
-    job.expect("known").chunks[0].version
+    job.expect("a known job").chunks[0].version
 }
 
 fn in_flight(controller: &Controller) -> bool {
@@ -100,7 +100,7 @@
     step(&mut controller, evidence_read, StoreReply::Found { value, version: 12 });
     assert!(!in_flight(&controller) && !controller.term_raise.is_reload_requested());
     assert_eq!(chunk_version(&controller), 12);
-    let shard = controller.shard.as_ref().expect("leads");
+    let shard = controller.shard.as_ref().expect("the shard of a leader");
     assert!(
         shard
             .workers
@@ -116,7 +116,7 @@
     let evidence_read = conflict(&mut controller, second, "live/pool/job/j-1");
     step(&mut controller, evidence_read, StoreReply::Missing);
     assert!(!in_flight(&controller) && !controller.term_raise.is_reload_requested());
-    let shard = controller.shard.as_ref().expect("leads");
+    let shard = controller.shard.as_ref().expect("the shard of a leader");
     assert!(shard.starts_wait());
     assert!(
         shard
--- a/src/controller/leader_timers.rs
+++ b/src/controller/leader_timers.rs
@@ -32,8 +32,8 @@
         self.claimed_at = now;
     }
 
-    /// Records that a worker was heard, and also that loading began, so that the isolation timeout
-    /// starts again.
+    /// Records that a worker was heard. Also called when loading starts, to restart the isolation
+    /// timeout.
     pub(super) fn note_worker_contact(&mut self, now: Millis) {
         self.worker_contact_at = now;
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,4 +1,4 @@
-//! The deterministic state machine of one controller, composed of the other modules.
+//! A controller: a deterministic state machine that composes the other modules of the crate.
 //!
 //! [`Controller::step`] takes one [`Input`] and returns the resulting [`Output`]s. It performs no
 //! I/O and has no clock or randomness of its own.
@@ -209,7 +209,7 @@
                 self.enqueue(Purpose::GrantLease, StoreRequest::Grant { ttl_ms });
             }
             Some(LeaseRequest::Renew(lease)) => {
-                self.enqueue(Purpose::RenewLease { sent: self.now }, StoreRequest::Renew(lease));
+                self.enqueue(Purpose::RenewLease { sent_at: self.now }, StoreRequest::Renew(lease));
             }
             None => {}
         }
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -15,9 +15,9 @@
         self.store_client.enqueue(self.now, purpose, request);
     }
 
-    /// Queues a request to be sent after a delay of `pause` milliseconds at the earliest.
-    pub(super) fn enqueue_after(&mut self, pause: Millis, purpose: Purpose, request: StoreRequest) {
-        self.store_client.enqueue(self.now + pause, purpose, request);
+    /// Queues a request to be sent after `delay` milliseconds at the earliest.
+    pub(super) fn enqueue_after(&mut self, delay: Millis, purpose: Purpose, request: StoreRequest) {
+        self.store_client.enqueue(self.now + delay, purpose, request);
     }
 
     /// Sends queued requests within the rate limits, and refuses user requests that exceed the
@@ -49,12 +49,15 @@
     fn on_answered(&mut self, purpose: Purpose, request: &StoreRequest, reply: StoreReply) {
         match purpose {
             Purpose::GrantLease => self.on_lease_granted(reply),
-            Purpose::Claim { transaction, sent } => self.on_claim_reply(transaction, sent, reply),
-            Purpose::RenewLease { sent } => self.on_renew_reply(sent, reply),
+            Purpose::Claim { transaction, sent_at } => self.on_claim_reply(transaction, sent_at, reply),
+            Purpose::RenewLease { sent_at } => self.on_renew_reply(sent_at, reply),
             Purpose::CheckClaim => self.on_claim_checked(reply),
             Purpose::ReadWatchCache => self.on_watch_cache_page(request, reply),
             Purpose::Watch => self.on_watch_reply(reply),
-            Purpose::RefreshWatchCache { admission_read, sent } => self.on_refreshed(admission_read, sent, reply),
+            Purpose::RefreshWatchCache {
+                admission_read,
+                sent_at,
+            } => self.on_refreshed(admission_read, sent_at, reply),
             Purpose::Load(stage) => self.on_load_reply(stage, request, reply),
             Purpose::Commit => self.on_commit_reply(request, reply),
             Purpose::CheckCommit(evidence) => self.on_commit_checked(evidence, &reply),
--- a/src/controller/store_client.rs
+++ b/src/controller/store_client.rs
@@ -11,7 +11,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use store_rates::RateShares;
 
-/// The length of the queue, as the time in seconds to send it at the service's full request rate.
+/// The maximum length of the queue, as the number of seconds it takes to send it at the service's
+/// full request rate.
 /// Users would give up before any requests beyond that were sent.
 const MAX_QUEUE_S: f64 = 3.0;
 /// The state service counts as reachable for this long after its last answer.
--- a/src/controller/store_purpose.rs
+++ b/src/controller/store_purpose.rs
@@ -13,10 +13,10 @@
     /// Claims the shard, or raises the term of an existing claim.
     Claim {
         transaction: Arc<Transaction>,
-        sent: Millis,
+        sent_at: Millis,
     },
     /// Renews the lease of the claim.
-    RenewLease { sent: Millis },
+    RenewLease { sent_at: Millis },
     /// Reads the claim after a conflict, to see whether it is our own.
     CheckClaim,
     /// Reads a page of all watched keys, to fill the watch cache.
@@ -27,7 +27,7 @@
     RefreshWatchCache {
         /// The number of the confirming read, if admission requested this one.
         admission_read: Option<u64>,
-        sent: Millis,
+        sent_at: Millis,
     },
     /// Reads a page of the state that a new leader loads.
     Load(LoadStage),
@@ -72,8 +72,8 @@
         )
     }
 
-    /// Whether the request is sent first and without regard to the rate limits. A share of the
-    /// rate is reserved for the requests that leases and claims depend on.
+    /// Whether the request is sent before others and even if the rate limits are exhausted. A share
+    /// of the rate is reserved for the requests that leases and claims depend on.
     pub(super) fn is_urgent(&self) -> bool {
         matches!(
             self,
--- a/src/controller/store_rates.rs
+++ b/src/controller/store_rates.rs
@@ -17,7 +17,7 @@
     writes: 0.2,
     user_writes: 0.04,
 };
-/// The shares of all controllers together that are not the leader.
+/// The shares of all controllers together, if all of them are followers.
 pub(super) const FOLLOWERS: RateShares = RateShares {
     requests: 0.4,
     writes: 0.05,
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -250,7 +250,7 @@
 }
 
 /// Guards against submissions that wait for seconds behind the writes for starts and clean-up when
-/// many arrive at once. In one incident only 0.58 of them were answered within 200 ms.
+/// many arrive at once. In one incident only a fraction of 0.58 was answered within 200 ms.
 #[test]
 fn queued_user_writes_get_a_larger_rate_share() {
     let settings = Settings::parse(SAMPLE).expect("valid settings");
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -50,7 +50,7 @@
         self.watch_state.refresh_sent(self.now);
         let purpose = Purpose::RefreshWatchCache {
             admission_read,
-            sent: self.now,
+            sent_at: self.now,
         };
         self.enqueue(purpose, self.watch_request(0));
     }
@@ -72,12 +72,12 @@
         self.watch_state.watch_answered(self.now + pause);
     }
 
-    /// Handles the reply to the refresh that was sent at `sent`. User requests may wait for it if it
-    /// is a confirming read of admission.
-    pub(super) fn on_refreshed(&mut self, admission_read: Option<u64>, sent: Millis, reply: StoreReply) {
+    /// Handles the reply to the refresh that was sent at `sent_at`. User requests may wait for it if
+    /// it is a confirming read of admission.
+    pub(super) fn on_refreshed(&mut self, admission_read: Option<u64>, sent_at: Millis, reply: StoreReply) {
         let is_up_to_date = self.apply_watch_log(reply);
         if is_up_to_date {
-            self.on_watch_cache_read(sent);
+            self.on_watch_cache_read(sent_at);
         }
         if let Some(read) = admission_read {
             let effects = self.with_admission(|admission, context| {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Takes over the catalogue that the state service holds.
+    /// Applies the catalogue that is stored in the state service.
     fn apply_stored_catalogue(&mut self) {
         let value = self.watch_cache.catalogue().cloned();
         match value.map(serde_json::from_value::<Catalogue>) {
