--- a/src/controller/placement_rounds.rs
+++ b/src/controller/placement_rounds.rs
@@ -6,7 +6,7 @@
 const INTERVAL_AFTER_CHANGE_MS: Millis = 25;
 /// Interval between two rounds without any change.
 const INTERVAL_WITHOUT_CHANGE_MS: Millis = 400;
-/// The interval after a change grows by one millisecond for each this many machines and jobs,
+/// The number of machines and jobs that lengthens the interval after a change by one millisecond,
 /// since the cost of a round grows with their number.
 const SIZE_PER_EXTRA_MS: usize = 20;
 
