--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -1,10 +1,11 @@
-//! Messages of other controllers, handed to what handles each.
+//! Messages from other controllers, dispatched to their handlers.
 
 use super::{Controller, Output, SHARD};
 use crate::admission::{Requester, service_unavailable};
 use crate::peers::{AddressedCommands, Answer, CommandReply, HeartbeatState, Message, UserRequest};
 
 impl Controller {
+    /// Dispatches a message that the controller `node` sent.
     pub(super) fn on_peer_message(&mut self, node: String, message: Message) {
         match message {
             Message::Heartbeat {
@@ -53,28 +54,30 @@
             return;
         }
         let requester = Requester::Peer { node, id };
-        // Never forwarded twice.
+        // A request is forwarded at most once.
         let effects =
             self.with_admission(|admission, context| admission.handle(context, requester, user_request, None));
         self.apply_effects(effects);
     }
 
     fn on_forward_reply(&mut self, node: &str, id: u64, answer: Answer) {
-        if let Some(pending_id) = self.forwarded_requests.take(id) {
-            let effects =
-                self.with_admission(|admission, context| admission.on_peer_answer(context, pending_id, node, answer));
+        if let Some(admission_request_id) = self.forwarded_requests.take(id) {
+            let effects = self.with_admission(|admission, context| {
+                admission.on_peer_answer(context, admission_request_id, node, answer)
+            });
             self.apply_effects(effects);
         }
     }
 
-    /// Delivers commands to workers for the leader, within what may be in flight.
+    /// Delivers commands to workers on behalf of the leader. Refuses those beyond the limit on
+    /// commands in flight.
     fn deliver_for_leader(&mut self, leader: &str, commands: Vec<AddressedCommands>) {
         for AddressedCommands { id, address, commands } in commands {
             if self.delegated_commands.len() >= self.connections.in_flight {
                 self.delegated_commands.refuse(leader, id);
                 continue;
             }
-            let call = self.call();
+            let call = self.next_call_id();
             self.delegated_commands.sent(call, leader, id);
             self.outputs.push(Output::Worker {
                 call,
@@ -84,13 +87,14 @@
         }
     }
 
-    /// As the leader: the outcomes of commands that a peer delivered.
+    /// Handles the outcomes of commands that a peer delivered for this leader.
     fn on_command_replies(&mut self, replies: Vec<CommandReply>) {
         for CommandReply { id, reply } in replies {
             self.on_delivery_reply(id, reply);
         }
     }
 
+    /// Sends a message to all other controllers.
     pub(super) fn broadcast(&mut self, message: &Message) {
         for node in self.peers.names() {
             let message = message.clone();
@@ -98,6 +102,7 @@
         }
     }
 
+    /// Sends a heartbeat to all other controllers if one is due.
     pub(super) fn send_heartbeat(&mut self) {
         if !self.peers.take_heartbeat_due(self.now) {
             return;
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -1,26 +1,27 @@
-//! Requests to the state service: queued and sent, and their replies handed to what
-//! asked.
+//! Sends requests to the state service and dispatches the replies by the purpose of the request.
 
 use super::{Controller, Purpose};
 use crate::Millis;
 use crate::store::{StoreReply, StoreRequest};
 
-/// Pause before a request without an answer is sent again.
+/// Delay before an unanswered request is sent again.
 pub(super) const RETRY_MS: Millis = 200;
-/// Pause before a request beyond the service's rate is sent again.
-const THROTTLED_MS: Millis = 250;
+/// Delay before a request that exceeded the service's rate limit is sent again.
+const THROTTLED_RETRY_MS: Millis = 250;
 
 impl Controller {
+    /// Queues a request to be sent as soon as the rate limits allow.
     pub(super) fn enqueue(&mut self, purpose: Purpose, request: StoreRequest) {
         self.store_client.enqueue(self.now, purpose, request);
     }
 
-    /// Sends a request no sooner than after a pause.
-    pub(super) fn enqueue_after(&mut self, pause: Millis, purpose: Purpose, request: StoreRequest) {
-        self.store_client.enqueue(self.now + pause, purpose, request);
+    /// Queues a request to be sent after `delay` milliseconds at the earliest.
+    pub(super) fn enqueue_after(&mut self, delay: Millis, purpose: Purpose, request: StoreRequest) {
+        self.store_client.enqueue(self.now + delay, purpose, request);
     }
 
-    /// Sends what the rates allow, and refuses users' requests beyond what may wait.
+    /// Sends queued requests within the rate limits, and refuses user requests that exceed the
+    /// queue limit.
     pub(super) fn send_queued(&mut self) {
         self.store_client.set_rates(self.election.phase());
         self.store_client
@@ -30,45 +31,52 @@
         }
     }
 
+    /// Handles a reply of the state service. A throttled request is sent again later, except for a
+    /// lease renewal.
     pub(super) fn on_store_reply(&mut self, call: u64, reply: StoreReply) {
         let Some(answered) = self.store_client.take_answered(self.now, call, &reply) else {
             return;
         };
-        let is_renewal = matches!(answered.purpose, Purpose::Renew { .. });
+        let is_renewal = matches!(answered.purpose, Purpose::RenewLease { .. });
         if reply == StoreReply::Throttled && !is_renewal {
-            self.enqueue_after(THROTTLED_MS, answered.purpose, answered.request);
+            self.enqueue_after(THROTTLED_RETRY_MS, answered.purpose, answered.request);
             return;
         }
         self.on_answered(answered.purpose, &answered.request, reply);
     }
 
+    /// Passes a reply to the handler for the purpose of its request.
     fn on_answered(&mut self, purpose: Purpose, request: &StoreRequest, reply: StoreReply) {
         match purpose {
-            Purpose::Grant => self.on_lease_granted(reply),
-            Purpose::Claim { transaction, sent } => self.on_claim_reply(transaction, sent, reply),
-            Purpose::Renew { sent } => self.on_renew_reply(sent, reply),
+            Purpose::GrantLease => self.on_lease_granted(reply),
+            Purpose::Claim { transaction, sent_at } => self.on_claim_reply(transaction, sent_at, reply),
+            Purpose::RenewLease { sent_at } => self.on_renew_reply(sent_at, reply),
             Purpose::CheckClaim => self.on_claim_checked(reply),
             Purpose::ReadWatchCache => self.on_watch_cache_page(request, reply),
             Purpose::Watch => self.on_watch_reply(reply),
-            Purpose::Refresh { admission_read, sent } => self.on_refreshed(admission_read, sent, reply),
+            Purpose::RefreshWatchCache {
+                admission_read,
+                sent_at,
+            } => self.on_refreshed(admission_read, sent_at, reply),
             Purpose::Load(stage) => self.on_load_reply(stage, request, reply),
             Purpose::Commit => self.on_commit_reply(request, reply),
             Purpose::CheckCommit(evidence) => self.on_commit_checked(evidence, &reply),
-            Purpose::ReadEnd(pending_id) => {
-                let effects =
-                    self.with_admission(|admission, context| admission.on_end_read(context, pending_id, &reply));
+            Purpose::ReadJobEnd(admission_request_id) => {
+                let effects = self
+                    .with_admission(|admission, context| admission.on_end_read(context, admission_request_id, &reply));
                 self.apply_effects(effects);
             }
-            Purpose::Write(pending_id) => self.on_user_write_reply(pending_id, request, &reply),
-            Purpose::Catalogue | Purpose::Resign => {}
+            Purpose::UserWrite(admission_request_id) => self.on_user_write_reply(admission_request_id, request, &reply),
+            Purpose::WriteCatalogue | Purpose::Resign => {}
         }
     }
 
-    fn on_user_write_reply(&mut self, pending_id: u64, request: &StoreRequest, reply: &StoreReply) {
+    fn on_user_write_reply(&mut self, admission_request_id: u64, request: &StoreRequest, reply: &StoreReply) {
         if let StoreReply::Conflict { failed } = reply {
-            self.check_claim_in(request, failed);
+            self.detect_lost_claim(request, failed);
         }
-        let effects = self.with_admission(|admission, context| admission.on_write_reply(context, pending_id, reply));
+        let effects =
+            self.with_admission(|admission, context| admission.on_write_reply(context, admission_request_id, reply));
         self.apply_effects(effects);
     }
 }
--- a/src/controller/store_purpose.rs
+++ b/src/controller/store_purpose.rs
@@ -1,99 +1,99 @@
-//! Why a request to the state service was made, which decides what its reply means.
+//! The purpose of a request to the state service, which determines how its reply is handled.
 
 use super::commits;
 use crate::Millis;
 use crate::wire::Transaction;
 use std::sync::Arc;
 
-/// Why a request to the state service was made.
+/// The purpose of a request to the state service.
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
-    /// A lease to claim the shard with.
-    Grant,
-    /// The claim, or a higher term.
+    /// Requests a lease under which to claim the shard.
+    GrantLease,
+    /// Claims the shard, or raises the term of an existing claim.
     Claim {
         transaction: Arc<Transaction>,
-        sent: Millis,
+        sent_at: Millis,
     },
-    /// The lease's renewal.
-    Renew { sent: Millis },
-    /// After a claim that conflicted: is it ours?
+    /// Renews the lease of the claim.
+    RenewLease { sent_at: Millis },
+    /// Reads the claim after a conflict, to see whether it is our own.
     CheckClaim,
-    /// A full read of the watched keys.
+    /// Reads a page of all watched keys, to fill the watch cache.
     ReadWatchCache,
-    /// Waits for changes of the watched keys.
+    /// Waits for changes to the watched keys.
     Watch,
-    /// Brings the watch cache up to date.
-    Refresh {
-        /// The number of admission's confirming read, if it asked for this one.
+    /// Reads the latest changes to the watched keys, to bring the watch cache up to date.
+    RefreshWatchCache {
+        /// The number of the confirming read, if admission requested this one.
         admission_read: Option<u64>,
-        sent: Millis,
+        sent_at: Millis,
     },
-    /// A page of what a new leader reads.
+    /// Reads a page of the state that a new leader loads.
     Load(LoadStage),
-    /// The leader's transaction in flight.
+    /// Applies the leader's transaction in flight.
     Commit,
-    /// Whether the transaction in flight was carried out.
+    /// Reads the evidence key, to see whether the transaction in flight was applied.
     CheckCommit(commits::Evidence),
-    /// How a job ended, for this operation of admission.
-    ReadEnd(u64),
-    /// A user's submission or cancellation, for this operation of admission.
-    Write(u64),
-    /// Stores the catalogue.
-    Catalogue,
-    /// Removes the own claim.
+    /// Reads how a job ended, for the admission request with this id.
+    ReadJobEnd(u64),
+    /// Writes a submission or cancellation, for the admission request with this id.
+    UserWrite(u64),
+    /// Stores the cloud's catalogue.
+    WriteCatalogue,
+    /// Deletes this controller's own claim.
     Resign,
 }
 
-/// What a new leader reads, in this order.
+/// The stages of loading by a new leader, in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LoadStage {
-    /// The machines of the inventory.
+    /// The groups of machines in the inventory.
     Machines,
-    /// Requests for machines that the cloud may not have answered.
+    /// Machine requests that the cloud may not have answered yet.
     MachineRequests,
     /// The watched keys, up to a revision after the claim.
     WatchCache,
-    /// The open attempts and done tasks of jobs.
-    Firings,
+    /// The open attempts and done tasks of jobs, in chunks of tasks.
+    TaskChunks,
 }
 
 impl Purpose {
-    /// Whether requests of this kind mean something only within one term.
-    pub(super) fn is_of_one_term(&self) -> bool {
+    /// Whether the request is valid only within the term in which it was made.
+    pub(super) fn is_bound_to_term(&self) -> bool {
         matches!(
             self,
             Purpose::Load(_)
                 | Purpose::Commit
                 | Purpose::CheckCommit(_)
                 | Purpose::CheckClaim
-                | Purpose::Renew { .. }
+                | Purpose::RenewLease { .. }
                 | Purpose::Claim { .. }
         )
     }
 
-    /// Whether it goes first and is never held back: a share of the rate is reserved
-    /// for what leases and claims depend on.
+    /// Whether the request is sent before others and even if the rate limits are exhausted. A share
+    /// of the rate is reserved for the requests that leases and claims depend on.
     pub(super) fn is_urgent(&self) -> bool {
         matches!(
             self,
-            Purpose::Grant
+            Purpose::GrantLease
                 | Purpose::Claim { .. }
-                | Purpose::Renew { .. }
+                | Purpose::RenewLease { .. }
                 | Purpose::CheckClaim
                 | Purpose::Resign
-                // One a second, on which acting depends.
-                | Purpose::Refresh { admission_read: None, .. }
+                // Sent once a second; the leader may act only with a recent watch cache.
+                | Purpose::RefreshWatchCache { admission_read: None, .. }
         )
     }
 
-    /// Whether a user waits for this write.
-    pub(super) fn is_users_write(&self) -> bool {
-        matches!(self, Purpose::Write(_))
+    /// Whether this is a write that a user waits for.
+    pub(super) fn is_user_write(&self) -> bool {
+        matches!(self, Purpose::UserWrite(_))
     }
 
-    /// Whether a user waits for this request, so that it may be refused.
+    /// Whether a user waits for this request. Such requests may be refused.
     pub(super) fn is_for_user(&self) -> bool {
-        matches!(self, Purpose::ReadEnd(_) | Purpose::Write(_))
+        matches!(self, Purpose::ReadJobEnd(_) | Purpose::UserWrite(_))
     }
 }
--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -1,5 +1,6 @@
-//! What a new leader reads before it acts: machines, machine requests, jobs and firings, one
-//! page after the other, so that heartbeats and renewals come in between.
+//! Loading the shard's state as a new leader: machines, machine requests, jobs and their attempts.
+//!
+//! Pages are read one at a time, so that heartbeats and lease renewals are handled in between.
 
 use super::store_calls::RETRY_MS;
 use super::{Controller, LoadStage, Purpose};
@@ -8,21 +9,22 @@
 use crate::store::{StoreReply, StoreRequest, strip_key_prefix};
 use crate::wire::{Entry, Page};
 
-/// Pause before the next claim after loading was given up.
+/// Delay before the next claim after loading was aborted.
 const CLAIM_DELAY_MS: Millis = 500;
 
 impl Controller {
-    /// Reads the page of a stage after that key.
+    /// Requests the page of `stage` that follows the key `after`.
     pub(super) fn load_page(&mut self, stage: LoadStage, after: String) {
         let prefix = match stage {
             LoadStage::Machines => self.keys.machine_groups(),
             LoadStage::MachineRequests => self.keys.machine_requests(),
             LoadStage::WatchCache => self.keys.watched(),
-            LoadStage::Firings => self.keys.task_chunks(),
+            LoadStage::TaskChunks => self.keys.task_chunks(),
         };
         self.enqueue(Purpose::Load(stage), StoreRequest::List { prefix, after });
     }
 
+    /// Handles the reply to a page request of `stage`.
     pub(super) fn on_load_reply(&mut self, stage: LoadStage, request: &StoreRequest, reply: StoreReply) {
         if self.election.phase() != Phase::Loading {
             return;
@@ -31,7 +33,7 @@
             self.load_progress.answered(self.now);
         }
         if stage == LoadStage::WatchCache && self.load_jobs(&reply) {
-            self.load_page(LoadStage::Firings, String::new());
+            self.load_page(LoadStage::TaskChunks, String::new());
             return;
         }
         match reply {
@@ -71,20 +73,19 @@
             }
             LoadStage::MachineRequests => shard.load_machine_request(entry),
             LoadStage::WatchCache => {}
-            LoadStage::Firings => self.load_firing(entry),
+            LoadStage::TaskChunks => self.load_task_chunk(entry),
         }
     }
 
-    fn load_firing(&mut self, entry: &Entry) {
+    fn load_task_chunk(&mut self, entry: &Entry) {
         let Some(shard) = &mut self.shard else {
             return;
         };
         let Some((job, number)) = strip_key_prefix(entry, &self.keys.task_chunks()).split_once('/') else {
             return;
         };
-        // The job may be newer than the watch cache, which is brought up to date before
-        // firings are read; if it is still missing, it was cleaned up while these pages
-        // were read.
+        // The watch cache was brought up to date before this stage. A job that is missing from it
+        // was deleted while these pages were read.
         if shard.jobs.table.find(job).is_some()
             && let Ok(number) = number.parse()
         {
@@ -95,20 +96,20 @@
     fn load_next_stage(&mut self, stage: LoadStage) {
         match stage {
             LoadStage::Machines => self.load_page(LoadStage::MachineRequests, String::new()),
-            // The watch cache must be newer than the claim before firings are read.
+            // The watch cache must be newer than the claim before the `TaskChunks` stage starts.
             LoadStage::MachineRequests => {
                 let request = self.watch_request(0);
                 self.enqueue(Purpose::Load(LoadStage::WatchCache), request);
             }
             LoadStage::WatchCache => {}
-            LoadStage::Firings => self.on_loaded(),
+            LoadStage::TaskChunks => self.on_loaded(),
         }
     }
 
-    /// The read that brings the watch cache up to date while loading came back.
-    /// Whether it did, and the shard knows the jobs.
+    /// Applies the reply to the watch cache update of the loading sequence and adds the jobs to
+    /// the shard. Returns whether the watch cache is up to date.
     fn load_jobs(&mut self, reply: &StoreReply) -> bool {
-        if !self.take_log(reply.clone()) {
+        if !self.apply_watch_log(reply.clone()) {
             return false;
         }
         let Some(shard) = &mut self.shard else {
@@ -120,13 +121,13 @@
         true
     }
 
-    /// Everything has been read: acts from now on.
+    /// Completes loading: this controller starts to act as the leader.
     fn on_loaded(&mut self) {
         let Some(shard) = &mut self.shard else {
             return;
         };
         shard.loaded();
-        // Asking each machine straight away spares a report interval.
+        // Contacting each worker directly saves waiting one report interval.
         shard.workers.delivery_due.extend(shard.workers.machines.indices());
         tracing::info!(
             term = self.election.term(),
@@ -139,8 +140,8 @@
         self.placement_rounds.request();
     }
 
-    /// Loading goes on as long as answers come.
-    pub(super) fn give_up_stalled_loading(&mut self) {
+    /// Steps down if loading has stalled. Loading continues as long as replies arrive.
+    pub(super) fn abort_stalled_loading(&mut self) {
         if self.election.phase() == Phase::Loading && self.load_progress.is_stalled(self.now) {
             self.step_down(CLAIM_DELAY_MS);
         }
