--- a/tests/golden/operators.rs
+++ b/tests/golden/operators.rs
@@ -1,13 +1,13 @@
-//! What operators write: the settings file, the policy script, the deploy file.
+//! Files that operators write: the settings file, the policy script and the deploy file.
 
-use super::{lines, text};
+use super::{golden_lines, golden_text};
 use std::fmt::Write;
 use sumacbend::policy::Policy;
 use sumacbend::settings::Settings;
 
 const SETTINGS: &str = "settings.toml";
-/// Fields of the platform's file that are not read.
-const NOT_READ: [&str; 5] = ["nodes", "gang_wait_s", "gang_peer_s", "share", "times"];
+/// Fields of the platform's settings file that the program ignores.
+const IGNORED: [&str; 5] = ["nodes", "gang_wait_s", "gang_peer_s", "share", "times"];
 /// Fields that may be left out.
 const OPTIONAL: [&str; 2] = ["class", "within_s"];
 
@@ -15,63 +15,64 @@
     Settings::parse(text).map_err(|error| error.to_string())
 }
 
-/// A controller's decoded settings, as far as they have a form of their own.
+/// Returns the limits and timeouts derived from the settings, and the warnings, one per line.
 fn summary(settings: &Settings) -> String {
     let mut text = String::new();
     let connections = settings.connections();
-    writeln!(text, "lapse_ms {}", settings.lease_expiry_ms()).expect("written");
-    writeln!(text, "watch_cache_age_ms {}", settings.max_watch_cache_age_ms()).expect("written");
-    writeln!(text, "served {}", connections.served).expect("written");
-    writeln!(text, "kept_idle {}", connections.kept_idle).expect("written");
-    writeln!(text, "in_flight {}", connections.in_flight).expect("written");
-    writeln!(text, "backlog {}", connections.backlog).expect("written");
-    writeln!(text, "bodies_kib {}", settings.bodies_kib()).expect("written");
-    writeln!(text, "event_queue {}", settings.event_queue()).expect("written");
+    writeln!(text, "lapse_ms {}", settings.lease_expiry_ms()).expect("writing to a string");
+    writeln!(text, "watch_cache_age_ms {}", settings.max_watch_cache_age_ms()).expect("writing to a string");
+    writeln!(text, "served {}", connections.served).expect("writing to a string");
+    writeln!(text, "kept_idle {}", connections.kept_idle).expect("writing to a string");
+    writeln!(text, "in_flight {}", connections.in_flight).expect("writing to a string");
+    writeln!(text, "backlog {}", connections.backlog).expect("writing to a string");
+    writeln!(text, "bodies_kib {}", settings.bodies_kib()).expect("writing to a string");
+    writeln!(text, "event_queue {}", settings.event_queue()).expect("writing to a string");
     for warning in settings.warnings() {
-        writeln!(text, "warning {warning}").expect("written");
+        writeln!(text, "warning {warning}").expect("writing to a string");
     }
     text
 }
 
 #[test]
-fn the_settings_file_is_read_as_before() {
-    let settings = parse(&text(SETTINGS)).expect("valid");
-    assert_eq!(summary(&settings), text("settings_summary.txt"));
+fn values_derived_from_the_settings_file_are_unchanged() {
+    let settings = parse(&golden_text(SETTINGS)).expect("valid");
+    assert_eq!(summary(&settings), golden_text("settings_summary.txt"));
 }
 
-/// Each line of the file on its own: a field left out or renamed is named in the
-/// error, one of another type is refused where it stands.
+/// Removes each field of the file in turn and checks that the error names it, then gives it a
+/// value of the wrong type and checks that the error gives its line. Optional fields may be
+/// missing, and ignored fields may be missing or have any type.
 #[test]
-fn every_field_of_the_settings_file_is_read_by_its_name() {
-    let whole = text(SETTINGS);
-    for (number, line) in whole.lines().enumerate() {
+fn every_field_of_the_settings_file_keeps_its_name() {
+    let whole = golden_text(SETTINGS);
+    for (index, line) in whole.lines().enumerate() {
         let Some((field, _)) = line.split_once(" = ") else {
             continue;
         };
-        let with = |line: &str| {
+        let parse_with = |replacement: &str| {
             let lines = whole.lines().enumerate();
-            let lines = lines.map(|(other, old)| if other == number { line } else { old });
+            let lines = lines.map(|(other, line)| if other == index { replacement } else { line });
             parse(&lines.collect::<Vec<_>>().join("\n")).map(|_| ())
         };
-        let (without, other_type) = (with(""), with(&format!("{field} = {{ x = 1 }}")));
-        if NOT_READ.contains(&field) {
-            assert_eq!((without, other_type), (Ok(()), Ok(())), "{field}");
+        let (without_field, with_wrong_type) = (parse_with(""), parse_with(&format!("{field} = {{ x = 1 }}")));
+        if IGNORED.contains(&field) {
+            assert_eq!((without_field, with_wrong_type), (Ok(()), Ok(())), "{field}");
             continue;
         }
-        let place = format!("at line {}", number + 1);
-        assert!(other_type.is_err_and(|error| error.contains(&place)), "{field}");
+        let position = format!("at line {}", index + 1);
+        assert!(with_wrong_type.is_err_and(|error| error.contains(&position)), "{field}");
         if OPTIONAL.contains(&field) {
-            assert_eq!(without, Ok(()), "{field}");
+            assert_eq!(without_field, Ok(()), "{field}");
         } else {
-            let missed = format!("missing field `{field}`");
-            assert!(without.is_err_and(|error| error.contains(&missed)), "{field}");
+            let expected = format!("missing field `{field}`");
+            assert!(without_field.is_err_and(|error| error.contains(&expected)), "{field}");
         }
     }
 }
 
 #[test]
-fn every_section_of_the_settings_file_is_read_by_its_name() {
-    let whole = text(SETTINGS);
+fn every_section_of_the_settings_file_keeps_its_name() {
+    let whole = golden_text(SETTINGS);
     for section in [
         "external",
         "params",
@@ -93,20 +94,21 @@
             "{section}: {error}"
         );
     }
-    // These may be left out; under their own names they are checked.
+    // These sections are optional, but if present their fields are checked.
     for (section, field) in [("seeds", "address"), ("params.objectives", "kind")] {
-        let spoilt = format!("{whole}\n[[{section}]]\nnovel = 1\n");
-        assert!(parse(&spoilt).is_err(), "{section} has no `{field}`");
-        let others = whole.replace(&format!("[[{section}]]"), "[[novel]]");
-        assert!(parse(&others).is_ok(), "{section} may be left out");
+        let with_invalid = format!("{whole}\n[[{section}]]\nnovel = 1\n");
+        assert!(parse(&with_invalid).is_err(), "{section} without `{field}` is rejected");
+        let without_section = whole.replace(&format!("[[{section}]]"), "[[novel]]");
+        assert!(parse(&without_section).is_ok(), "{section} is optional");
     }
 }
 
-/// Of each policy value the name, the default and the range.
+/// Checks the name, the default and the range of each policy value. The limits of the range are
+/// accepted; a value beyond them is rejected with an error that names the value and its range.
 #[test]
 fn policy_values_keep_their_names_defaults_and_ranges() {
     let entries = Policy::default().entries();
-    let expected = lines("policy.txt");
+    let expected = golden_lines("policy.txt");
     assert_eq!(entries.len(), expected.len());
     for (line, (name, value)) in expected.iter().zip(entries) {
         let parts: Vec<&str> = line.split(' ').collect();
@@ -120,9 +122,9 @@
             let number: f64 = value.parse().expect("a number");
             assert!(policy.entries().contains(&(name, number)), "{name} = {value}");
         }
-        let beyond = [format!("{low} - 0.001"), format!("{high} + 0.001")].map(|value| set(&value));
-        for refused in beyond {
-            let error = refused.expect_err("outside the range").to_string();
+        let out_of_range = [format!("{low} - 0.001"), format!("{high} + 0.001")].map(|value| set(&value));
+        for result in out_of_range {
+            let error = result.expect_err("outside the range").to_string();
             assert!(error.contains(&format!("`{name}`")), "{error}");
             assert!(error.contains(&format!("outside {low} to {high}")), "{error}");
         }
@@ -130,8 +132,8 @@
 }
 
 #[test]
-fn the_deploy_file_stays() {
+fn the_deploy_file_is_unchanged() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/service.toml");
     let deployed = std::fs::read_to_string(path).expect("the deploy file");
-    assert_eq!(deployed, text("deploy_service.toml"));
+    assert_eq!(deployed, golden_text("deploy_service.toml"));
 }
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -1,6 +1,6 @@
-//! Keys and values in the state service.
+//! Keys and values that controllers store in the state service.
 
-use super::{decode, lines};
+use super::{decode_json, golden_lines};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
@@ -11,62 +11,65 @@
 
 const STORE: &str = "stored/store.txt";
 
-/// Every key below the prefix is read and written as the very same value: values
-/// go into transactions as JSON, whose fields are sorted.
-fn round_trip_below<T: Serialize + DeserializeOwned>(name: &str, prefix: &str) {
+/// Checks that the value of every key with the prefix decodes as a `T` and encodes to the same
+/// text. Transactions contain values as [`Value`], which sorts the fields.
+fn check_round_trip_below<T: Serialize + DeserializeOwned>(name: &str, prefix: &str) {
     let mut found = 0;
-    for line in lines(name) {
+    for line in golden_lines(name) {
         let (key, text) = line.split_once(' ').expect("a key and its value");
         if !key.starts_with(prefix) {
             continue;
         }
         found += 1;
-        let value: T = decode(name, text);
+        let value: T = decode_json(name, text);
         assert_eq!(json!(value).to_string(), text, "{key}");
     }
-    assert!(found > 0, "{name} has nothing below {prefix}");
+    assert!(found > 0, "{name} has no key below {prefix}");
 }
 
 #[test]
-fn stored_values_keep_their_text() {
-    round_trip_below::<LeaderValue>("stored/claim.txt", "live/pool/owner");
-    round_trip_below::<Catalogue>(STORE, "live/pool/catalogue");
-    round_trip_below::<JobKey>(STORE, "live/pool/job/");
-    round_trip_below::<EndValue>(STORE, "kept/pool/end/");
-    round_trip_below::<ChunkValue>(STORE, "kept/pool/firing/");
-    round_trip_below::<GroupValue>(STORE, "kept/pool/roster/");
-    round_trip_below::<MachineRequestRecord>(STORE, "kept/pool/hire/");
+fn stored_values_keep_their_json() {
+    check_round_trip_below::<LeaderValue>("stored/claim.txt", "live/pool/owner");
+    check_round_trip_below::<Catalogue>(STORE, "live/pool/catalogue");
+    check_round_trip_below::<JobKey>(STORE, "live/pool/job/");
+    check_round_trip_below::<EndValue>(STORE, "kept/pool/end/");
+    check_round_trip_below::<ChunkValue>(STORE, "kept/pool/firing/");
+    check_round_trip_below::<GroupValue>(STORE, "kept/pool/roster/");
+    check_round_trip_below::<MachineRequestRecord>(STORE, "kept/pool/hire/");
 }
 
-/// All fields of a stored value are required, but for how a job ended and the count of
-/// its tasks that were done.
+/// All fields of stored values are required, except for how a job ended (`ended`) and the number
+/// of its tasks that were done (`done` of an end key).
 #[test]
-fn fields_of_stored_values_are_missed_by_name() {
-    fn missed_answers<T: DeserializeOwned>(text: &str, optional: &[&str]) {
-        let whole: Value = serde_json::from_str(text).expect("JSON");
+fn decoding_errors_name_missing_fields_of_stored_values() {
+    fn check_required_fields<T: DeserializeOwned>(text: &str, optional: &[&str]) {
+        let whole: Value = serde_json::from_str(text).expect("valid JSON");
         for field in whole.as_object().expect("an object").keys() {
-            let mut rest = whole.clone();
-            rest.as_object_mut().expect("an object").remove(field);
-            match serde_json::from_value::<T>(rest).err() {
+            let mut incomplete = whole.clone();
+            incomplete.as_object_mut().expect("an object").remove(field);
+            match serde_json::from_value::<T>(incomplete).err() {
                 Some(error) => assert!(error.to_string().contains(&format!("`{field}`")), "{error}"),
-                None => assert!(optional.contains(&field.as_str()), "`{field}` is not missed"),
+                None => assert!(
+                    optional.contains(&field.as_str()),
+                    "decoding succeeded without `{field}`"
+                ),
             }
         }
     }
-    let all = [lines(STORE), lines("stored/claim.txt")].concat();
+    let all = [golden_lines(STORE), golden_lines("stored/claim.txt")].concat();
     for line in all {
         let (key, text) = line.split_once(' ').expect("a key and its value");
         let parts: Vec<&str> = key.split('/').collect();
         match parts[2] {
-            "owner" => missed_answers::<LeaderValue>(text, &[]),
-            "job" => missed_answers::<JobKey>(text, &["ended"]),
-            "end" => missed_answers::<EndValue>(text, &["done"]),
-            "firing" => missed_answers::<ChunkValue>(text, &[]),
-            "roster" => missed_answers::<GroupValue>(text, &[]),
-            "hire" => missed_answers::<MachineRequestRecord>(text, &[]),
-            // Read by the controllers alone, as the takeover in tests/rules shows.
+            "owner" => check_required_fields::<LeaderValue>(text, &[]),
+            "job" => check_required_fields::<JobKey>(text, &["ended"]),
+            "end" => check_required_fields::<EndValue>(text, &["done"]),
+            "firing" => check_required_fields::<ChunkValue>(text, &[]),
+            "roster" => check_required_fields::<GroupValue>(text, &[]),
+            "hire" => check_required_fields::<MachineRequestRecord>(text, &[]),
+            // The takeover test in `tests/rules` checks that controllers read these.
             "term" | "catalogue" => {}
-            other => panic!("a key of another kind: {other}"),
+            other => panic!("unexpected kind of key: {other}"),
         }
     }
 }
@@ -90,14 +93,15 @@
         keys.machine_requests(),
         keys.machine_request("pool-41-7"),
     ];
-    assert_eq!(names.to_vec(), lines("stored/keys.txt"));
+    assert_eq!(names.to_vec(), golden_lines("stored/keys.txt"));
 }
 
-/// A firing's key names a chunk of the job's tasks, so its size is part of the form.
+/// A chunk's key contains the chunk's index among the chunks of its job, so the number of tasks
+/// per chunk is part of the stored format.
 #[test]
-fn chunks_keep_their_size() {
-    for line in lines("stored/chunk_tasks.txt") {
-        let (value_kb, tasks) = line.split_once(' ').expect("a size and a count");
+fn chunks_keep_their_number_of_tasks() {
+    for line in golden_lines("stored/chunk_tasks.txt") {
+        let (value_kb, tasks) = line.split_once(' ').expect("a value size and a number of tasks");
         let value_kb: f64 = value_kb.parse().expect("a number");
         assert_eq!(sumacbend::pipeline::tasks_per_chunk(value_kb).to_string(), tasks);
     }
