--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,6 +1,7 @@
-//! Holds what each machine, task and job takes of a controller's memory below the
-//! figures that bounds are derived from. Bytes are counted by the allocator, so that
-//! the verdict is the same every time.
+//! Checks the memory that a controller uses per machine, task and job against the figures from
+//! which memory limits are derived ([`sumacbend::memory`]).
+//!
+//! The allocator counts the bytes, so the results are the same in every run.
 
 use serde_json::json;
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
@@ -17,23 +18,25 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// The allocator counts for the whole process, so tests take turns.
-static TURN: Mutex<()> = Mutex::new(());
+/// Held by each test, because the allocator counts the allocations of the whole process and
+/// tests must therefore not run in parallel.
+static ALLOCATION_COUNT_LOCK: Mutex<()> = Mutex::new(());
 
 const SETTINGS: &str = include_str!("support/fleet_settings.toml");
 
-/// Enough of each kind for the growth of tables to even out.
+// The numbers of machines and jobs are large enough to average out the growth steps of tables.
 const MACHINES: usize = 4_096;
 const JOBS: usize = 4_096;
-const TASKS_A_MACHINE: usize = 16;
+const TASKS_PER_MACHINE: usize = 16;
 
-fn shard() -> Shard {
+/// Returns a shard without machines and jobs.
+fn empty_shard() -> Shard {
     let settings = Settings::parse(SETTINGS).expect("valid settings");
     let mut shard = Shard::new("pool", 3, &settings, &Policy::default());
     shard.set_catalogue(&Catalogue {
         types: vec![MachineType {
             name: "pantry-rack".into(),
-            cpus: TASKS_A_MACHINE as f64,
+            cpus: TASKS_PER_MACHINE as f64,
             gpus: 0.0,
             memory_gb: 64.0,
             cache_gb: 50.0,
@@ -47,6 +50,7 @@
     shard
 }
 
+/// Returns the value of the key of an unfinished job.
 fn job_key(number: usize, tasks: usize) -> JobKey {
     let spec = json!({"id": format!("j-{number:06}"), "lotType": "allergen-labels", "consignor": "red",
         "saleFormat": "array", "bidRank": "high", "lots": tasks, "cores": 1.0, "cards": 0.0, "memGb": 1.0,
@@ -63,6 +67,7 @@
     format!("host-{number:06}")
 }
 
+/// Returns the report of a machine with these tasks.
 fn report(number: usize, tasks: Vec<TaskReport>) -> Report {
     Report {
         machine: machine_name(number),
@@ -78,6 +83,8 @@
     }
 }
 
+/// Adds machines that have reported and are in the stored inventory, so that tasks can be placed
+/// on them.
 fn add_machines(shard: &mut Shard) {
     for number in 0..MACHINES {
         shard.add_machine(0, &machine_name(number), "pantry-rack", "north", true);
@@ -85,88 +92,96 @@
     }
     let machines = shard.workers.machines.indices();
     for ix in machines {
-        shard.workers.machines.get_mut(ix).expect("there").is_persisted = true;
+        shard
+            .workers
+            .machines
+            .get_mut(ix)
+            .expect("an existing machine")
+            .is_persisted = true;
     }
 }
 
-/// Bytes that `grow` keeps for each of `count`.
-fn bytes_each<T>(count: usize, grow: impl FnOnce() -> T) -> usize {
+/// Returns the bytes per item that `build` allocates and does not free if it creates `count`
+/// items. The result of `build` counts as not freed.
+fn allocated_bytes_per_item<T>(count: usize, build: impl FnOnce() -> T) -> usize {
     let region = Region::new(ALLOCATOR);
-    let kept = grow();
+    let built = build();
     let change = region.change();
     let bytes = change.bytes_allocated - change.bytes_deallocated;
-    drop(kept);
+    drop(built);
     bytes / count
 }
 
-/// Within the named bound, and more than half of it: a bound that is far too wide
-/// would not notice what doubles.
-fn assert_close(bytes: usize, bound: usize) {
+/// Asserts that `bytes` is at most `bound` and more than half of it. A wider bound would not
+/// detect that the memory use doubled.
+fn assert_close_to_bound(bytes: usize, bound: usize) {
     assert!(bytes <= bound, "{bytes} bytes, {bound} at most");
     assert!(2 * bytes > bound, "{bytes} bytes: the bound of {bound} is too wide");
 }
 
 #[test]
-fn a_machine_takes_no_more_than_its_bound() {
-    let _turn = TURN.lock();
-    let mut shard = shard();
-    let bytes = bytes_each(MACHINES, || add_machines(&mut shard));
-    assert_close(bytes, memory::MACHINE_BYTES);
+fn memory_per_machine_is_within_its_bound() {
+    let _guard = ALLOCATION_COUNT_LOCK.lock();
+    let mut shard = empty_shard();
+    let bytes = allocated_bytes_per_item(MACHINES, || add_machines(&mut shard));
+    assert_close_to_bound(bytes, memory::MACHINE_BYTES);
 }
 
 #[test]
-fn an_open_task_takes_no_more_than_its_bound() {
-    let _turn = TURN.lock();
-    let mut shard = shard();
+fn memory_per_open_task_is_within_its_bound() {
+    let _guard = ALLOCATION_COUNT_LOCK.lock();
+    let mut shard = empty_shard();
     add_machines(&mut shard);
-    let tasks = MACHINES * TASKS_A_MACHINE;
+    let tasks = MACHINES * TASKS_PER_MACHINE;
     shard.job_changed(0, "j-000001", &job_key(1, tasks), 1);
-    let bytes = bytes_each(tasks, || {
-        for round in 1..=tasks as u64 {
+    let bytes = allocated_bytes_per_item(tasks, || {
+        for now in 1..=tasks as u64 {
             if shard.workers.attempts.iter().count() == tasks {
                 break;
             }
-            shard.place(round);
+            shard.place(now);
         }
     });
     assert_eq!(shard.workers.attempts.iter().count(), tasks);
-    assert_close(bytes, memory::OPEN_TASK_BYTES);
+    assert_close_to_bound(bytes, memory::OPEN_TASK_BYTES);
 }
 
 #[test]
-fn an_unfinished_job_takes_no_more_than_its_bound() {
-    let _turn = TURN.lock();
-    let mut shard = shard();
-    let bytes = bytes_each(JOBS, || {
-        let watch_cache = watched(JOBS, None);
+fn memory_per_unfinished_job_is_within_its_bound() {
+    let _guard = ALLOCATION_COUNT_LOCK.lock();
+    let mut shard = empty_shard();
+    let bytes = allocated_bytes_per_item(JOBS, || {
+        let watch_cache = watch_cache_with_jobs(JOBS, None);
         for (id, (key, version)) in watch_cache.jobs() {
             shard.job_changed(0, id, key, *version);
         }
         watch_cache
     });
-    assert_close(bytes, memory::JOB_BYTES);
+    assert_close_to_bound(bytes, memory::JOB_BYTES);
 }
 
 #[test]
-fn a_task_of_an_unfinished_job_takes_no_more_than_its_bound() {
-    let _turn = TURN.lock();
+fn memory_per_thousand_tasks_of_an_unfinished_job_is_within_its_bound() {
+    let _guard = ALLOCATION_COUNT_LOCK.lock();
     const TASKS: usize = 100_000;
-    let mut shard = shard();
-    let bytes = bytes_each(TASKS / 1_000, || {
+    let mut shard = empty_shard();
+    let bytes = allocated_bytes_per_item(TASKS / 1_000, || {
         shard.job_changed(0, "j-000001", &job_key(1, TASKS), 1);
     });
-    assert_close(bytes, memory::THOUSAND_TASKS_BYTES);
+    assert_close_to_bound(bytes, memory::THOUSAND_TASKS_BYTES);
 }
 
-/// What a follower keeps of a job that has ended and is not cleaned up yet.
+/// Covers what a follower holds for a job that has ended and is not cleaned up yet.
 #[test]
-fn an_ended_job_takes_no_more_than_its_bound() {
-    let _turn = TURN.lock();
-    let bytes = bytes_each(JOBS, || watched(JOBS, Some(JobState::Done)));
-    assert_close(bytes, memory::ENDED_JOB_BYTES);
+fn memory_per_ended_job_is_within_its_bound() {
+    let _guard = ALLOCATION_COUNT_LOCK.lock();
+    let bytes = allocated_bytes_per_item(JOBS, || watch_cache_with_jobs(JOBS, Some(JobState::Done)));
+    assert_close_to_bound(bytes, memory::ENDED_JOB_BYTES);
 }
 
-fn watched(jobs: usize, ended: Option<JobState>) -> WatchCache {
+/// Returns a watch cache with `jobs` jobs that ended in this state, or are unfinished if `ended`
+/// is `None`.
+fn watch_cache_with_jobs(jobs: usize, ended: Option<JobState>) -> WatchCache {
     let keys = Keys::new("pool");
     let mut watch_cache = WatchCache::default();
     for number in 0..jobs {
