--- a/benches/costs/follower_costs.rs
+++ b/benches/costs/follower_costs.rs
@@ -4,8 +4,8 @@
 
 #[divan::bench]
 fn idle_tick(bencher: Bencher<'_, '_>) {
-    let mut site = Site::new(true);
-    bencher.bench_local(|| site.pass(0));
+    let mut harness = Harness::new(true);
+    bencher.bench_local(|| harness.pass(0));
 }
 
 /// A report relayed: its JSON read, the frame written, the answer read and
@@ -49,9 +49,9 @@
 
 #[divan::bench]
 fn poll(bencher: Bencher<'_, '_>) {
-    let mut site = Site::new(true);
+    let mut harness = Harness::new(true);
     bencher.bench_local(|| {
-        site.step(Input::User {
+        harness.step(Input::User {
             request: 1,
             user_request: UserRequest::Show("j-000007".into()),
         })
@@ -60,7 +60,7 @@
 
 #[divan::bench]
 fn heartbeat(bencher: Bencher<'_, '_>) {
-    let mut site = Site::new(true);
+    let mut harness = Harness::new(true);
     let message = Message::Heartbeat {
         node: "n1".into(),
         shard: "pool".into(),
@@ -70,6 +70,6 @@
     let frame = rmp_serde::to_vec(&message).expect("written");
     bencher.bench_local(|| {
         let message: Message = rmp_serde::from_slice(&frame).expect("read");
-        site.step(peer(message))
+        harness.step(peer(message))
     });
 }
--- a/benches/costs/site/mod.rs
+++ b/benches/costs/harness/mod.rs
@@ -137,18 +137,18 @@
 }
 
 /// A controller and the state service it uses.
-pub struct Site {
+pub struct Harness {
     pub controller: Controller,
     entries: BTreeMap<String, (Value, u64)>,
     revision: u64,
     now_ms: u64,
 }
 
-impl Site {
+impl Harness {
     /// A controller that has read the watched keys, and leads if nobody else does.
-    pub fn new(other_leads: bool) -> Site {
+    pub fn new(other_leads: bool) -> Harness {
         let entries = stored().into_iter().map(|(key, value)| (key, (value, 1))).collect();
-        let mut site = Site {
+        let mut harness = Harness {
             controller: Controller::new(settings(), Policy::default(), 7),
             entries,
             revision: 1,
@@ -156,17 +156,17 @@
         };
         if other_leads {
             let claim = json!({"node": "n1", "life": 3, "term": TERM});
-            site.entries.insert(Keys::new("pool").leader(), (claim, 1));
+            harness.entries.insert(Keys::new("pool").leader(), (claim, 1));
         }
-        while !other_leads && !site.controller.leads() {
-            site.heartbeat(None);
-            site.pass(50);
+        while !other_leads && !harness.controller.leads() {
+            harness.heartbeat(None);
+            harness.pass(50);
         }
         for _ in 0..20 {
-            site.heartbeat(other_leads.then_some(TERM));
-            site.pass(50);
+            harness.heartbeat(other_leads.then_some(TERM));
+            harness.pass(50);
         }
-        site
+        harness
     }
 
     fn heartbeat(&mut self, leading_term: Option<u64>) {
--- a/benches/costs/site/state_service.rs
+++ b/benches/costs/harness/state_service.rs
@@ -1,10 +1,10 @@
 //! A state service that answers at once.
 
-use super::Site;
+use super::Harness;
 use sumacbend::store::{StoreReply, StoreRequest};
 use sumacbend::wire::{Change, Entry, Log, Page, Transaction};
 
-impl Site {
+impl Harness {
     pub(super) fn answer(&mut self, request: &StoreRequest) -> Option<StoreReply> {
         Some(match request {
             StoreRequest::Grant { .. } => StoreReply::Granted { lease: 1 },
--- a/benches/costs/leader_costs.rs
+++ b/benches/costs/leader_costs.rs
@@ -4,21 +4,21 @@
 
 #[divan::bench]
 fn idle_tick(bencher: Bencher<'_, '_>) {
-    let mut site = leader();
-    bencher.bench_local(|| site.pass(0));
+    let mut harness = leader();
+    bencher.bench_local(|| harness.pass(0));
 }
 
 /// Heartbeats, maintenance of all machines, counts: what time alone brings.
 #[divan::bench]
 fn tick_after_50_ms(bencher: Bencher<'_, '_>) {
-    let mut site = leader();
-    bencher.bench_local(|| site.pass(50));
+    let mut harness = leader();
+    bencher.bench_local(|| harness.pass(50));
 }
 
 /// Sixty-four reports: the frame decoded, merged, answered and encoded.
 #[divan::bench]
 fn relayed_reports_64(bencher: Bencher<'_, '_>) {
-    let mut site = leader();
+    let mut harness = leader();
     let mut seq = 1_000;
     bencher
         .with_inputs(|| {
@@ -30,7 +30,7 @@
         })
         .bench_local_values(|frame| {
             let message: Message = rmp_serde::from_slice(&frame).expect("read");
-            let outputs = site.step(peer(message));
+            let outputs = harness.step(peer(message));
             for output in outputs {
                 if let sumacbend::controller::Output::Peer { message, .. } = output {
                     black_box(rmp_serde::to_vec(&message).expect("written"));
@@ -42,7 +42,7 @@
 /// One report that came to the leader itself, its JSON included.
 #[divan::bench]
 fn direct_report(bencher: Bencher<'_, '_>) {
-    let mut site = leader();
+    let mut harness = leader();
     let mut seq = 1_000;
     bencher
         .with_inputs(|| {
@@ -51,15 +51,15 @@
         })
         .bench_local_values(|body| {
             let report = serde_json::from_slice(&body).expect("read");
-            site.step(Input::Report { request: 1, report })
+            harness.step(Input::Report { request: 1, report })
         });
 }
 
 #[divan::bench]
 fn poll(bencher: Bencher<'_, '_>) {
-    let mut site = leader();
+    let mut harness = leader();
     bencher.bench_local(|| {
-        site.step(Input::User {
+        harness.step(Input::User {
             request: 1,
             user_request: UserRequest::Show("j-000007".into()),
         })
@@ -68,15 +68,15 @@
 
 #[divan::bench(sample_count = 50, sample_size = 1)]
 fn submission(bencher: Bencher<'_, '_>) {
-    let mut site = leader();
+    let mut harness = leader();
     let mut number = 10_000;
     bencher
         .with_inputs(|| {
             number += 1;
-            serde_json::to_string(&site::spec(number, "high")).expect("written")
+            serde_json::to_string(&harness::spec(number, "high")).expect("written")
         })
         .bench_local_values(|body| {
-            site.step(Input::User {
+            harness.step(Input::User {
                 request: 1,
                 user_request: UserRequest::Submit(body),
             })
@@ -85,7 +85,7 @@
 
 #[divan::bench(sample_count = 50, sample_size = 1)]
 fn cancellation(bencher: Bencher<'_, '_>) {
-    let mut site = leader();
+    let mut harness = leader();
     let mut number = 0;
     bencher
         .with_inputs(|| {
@@ -93,7 +93,7 @@
             UserRequest::Cancel(format!("j-{number:06}"))
         })
         .bench_local_values(|user_request| {
-            site.step(Input::User {
+            harness.step(Input::User {
                 request: 1,
                 user_request,
             })
@@ -127,7 +127,7 @@
             let mut shard = shard(400, "low");
             let now = fill(&mut shard);
             for number in 5_000..5_100 {
-                let key = site::job_key(number, "high");
+                let key = harness::job_key(number, "high");
                 shard.job_changed(0, &key.spec.id, &key, 1);
             }
             shard.place(now);
@@ -162,7 +162,7 @@
 fn cloud_list_500(bencher: Bencher<'_, '_>) {
     let mut shard = shard(0, "high");
     let machines = (0..500).map(|number| ListedMachine {
-        id: site::machine_name(number),
+        id: harness::machine_name(number),
         address: Some(report(number, 1).address),
         machine_type: "pantry-rack".into(),
         zone: "north".into(),
@@ -183,6 +183,6 @@
 
 /// The whole of it: all watched keys, machines, firings, and the first ticks.
 #[divan::bench(sample_count = 5, sample_size = 1)]
-fn take_over() -> Site {
-    Site::new(false)
+fn take_over() -> Harness {
+    Harness::new(false)
 }
--- a/benches/costs/main.rs
+++ b/benches/costs/main.rs
@@ -4,11 +4,11 @@
 //! `cargo bench --bench costs`, or `cargo bench --bench costs -- report` for some.
 
 mod follower_costs;
+mod harness;
 mod leader_costs;
-mod site;
 
 use divan::{AllocProfiler, Bencher, black_box};
-use site::{MACHINES, Site, TERM, peer, report};
+use harness::{Harness, MACHINES, TERM, peer, report};
 use sumacbend::controller::{Input, Shard};
 use sumacbend::peers::{Message, RelayedReport, RelayedReportReply, ReportReply, UserRequest};
 use sumacbend::policy::Policy;
@@ -31,15 +31,15 @@
 }
 
 /// A leader that has heard all machines.
-fn leader() -> Site {
-    let mut site = Site::new(false);
+fn leader() -> Harness {
+    let mut harness = Harness::new(false);
     for machine in 0..MACHINES {
-        site.step(relay(machine, 1, 100));
+        harness.step(relay(machine, 1, 100));
     }
     for _ in 0..40 {
-        site.pass(50);
+        harness.pass(50);
     }
-    site
+    harness
 }
 
 fn relay(first: usize, count: usize, seq: u64) -> Input {
@@ -55,10 +55,10 @@
 
 /// A leader's state without the leader: all machines heard, and jobs that wait.
 fn shard(jobs: usize, priority: &str) -> Shard {
-    let mut shard = Shard::new("pool", TERM, &site::settings(), &Policy::default());
-    shard.set_catalogue(&site::catalogue());
+    let mut shard = Shard::new("pool", TERM, &harness::settings(), &Policy::default());
+    shard.set_catalogue(&harness::catalogue());
     for machine in 0..MACHINES {
-        shard.add_machine(0, &site::machine_name(machine), "pantry-rack", "north", true);
+        shard.add_machine(0, &harness::machine_name(machine), "pantry-rack", "north", true);
         let heard = Report {
             tasks: Vec::new(),
             ..report(machine, 1)
@@ -73,7 +73,7 @@
         }
     }
     for number in 0..jobs {
-        let key = site::job_key(number, priority);
+        let key = harness::job_key(number, priority);
         shard.job_changed(0, &key.spec.id, &key, 1);
     }
     shard
