--- a/benches/costs/follower_costs.rs
+++ b/benches/costs/follower_costs.rs
@@ -1,52 +1,55 @@
-//! What the parts of a follower cost: ticks, relayed reports, polls and heartbeats.
+//! Benchmarks of a follower: ticks, relayed reports, polls and heartbeats.
 
 use super::*;
 
+/// A tick for which no time has passed.
 #[divan::bench]
 fn idle_tick(bencher: Bencher<'_, '_>) {
     let mut harness = Harness::new(true);
-    bencher.bench_local(|| harness.pass(0));
+    bencher.bench_local(|| harness.tick_after(0));
 }
 
-/// A report relayed: its JSON read, the frame written, the answer read and
-/// written as JSON. Without the HTTP library.
+/// Relays 64 reports to the leader: decodes the JSON of each report, encodes the frame, decodes
+/// the frame with the replies, and encodes each answer as JSON. Encoding the frame with the replies
+/// is included, the HTTP library is not.
 #[divan::bench]
 fn relayed_reports_64(bencher: Bencher<'_, '_>) {
     let body = json_report(1_000);
     bencher.bench_local(|| {
-        let reports = (0..BATCH as u64).map(|id| RelayedReport {
+        let reports = (0..REPORTS_PER_FRAME as u64).map(|id| RelayedReport {
             id,
-            report: serde_json::from_slice(&body).expect("read"),
+            report: serde_json::from_slice(&body).expect("valid JSON"),
         });
         let message = Message::RelayReports {
             shard: "pool".into(),
             reports: reports.collect(),
         };
-        black_box(rmp_serde::to_vec(&message).expect("written"));
+        black_box(rmp_serde::to_vec(&message).expect("encodable as MessagePack"));
         let answer = ReportAnswer {
             fencing_token: TERM,
             commands: Vec::new(),
         };
-        let answers = (0..BATCH as u64).map(|id| RelayedReportReply {
+        let replies = (0..REPORTS_PER_FRAME as u64).map(|id| RelayedReportReply {
             id,
             reply: ReportReply::Accepted(answer.clone()),
         });
-        let answers = Message::ReportReplies {
-            answers: answers.collect(),
+        let message = Message::ReportReplies {
+            answers: replies.collect(),
         };
-        let frame = rmp_serde::to_vec(&answers).expect("written");
-        let message: Message = rmp_serde::from_slice(&frame).expect("read");
+        let frame = rmp_serde::to_vec(&message).expect("encodable as MessagePack");
+        let message: Message = rmp_serde::from_slice(&frame).expect("a valid frame");
         let Message::ReportReplies { answers } = message else {
-            unreachable!("as written");
+            unreachable!("the message encoded above");
         };
-        for answer in answers {
-            if let ReportReply::Accepted(answer) = answer.reply {
-                black_box(serde_json::to_string(&answer).expect("written"));
+        for reply in answers {
+            if let ReportReply::Accepted(answer) = reply.reply {
+                black_box(serde_json::to_string(&answer).expect("encodable as JSON"));
             }
         }
     });
 }
 
+/// Handles a user's request for the state of a job.
 #[divan::bench]
 fn poll(bencher: Bencher<'_, '_>) {
     let mut harness = Harness::new(true);
@@ -58,6 +61,7 @@
     });
 }
 
+/// Handles a heartbeat of the leader, including decoding its frame.
 #[divan::bench]
 fn heartbeat(bencher: Bencher<'_, '_>) {
     let mut harness = Harness::new(true);
@@ -67,9 +71,9 @@
         leading_term: Some(TERM),
         store_reachable: true,
     };
-    let frame = rmp_serde::to_vec(&message).expect("written");
+    let frame = rmp_serde::to_vec(&message).expect("encodable as MessagePack");
     bencher.bench_local(|| {
-        let message: Message = rmp_serde::from_slice(&frame).expect("read");
-        harness.step(peer(message))
+        let message: Message = rmp_serde::from_slice(&frame).expect("a valid frame");
+        harness.step(peer_input(message))
     });
 }
--- a/benches/costs/harness/mod.rs
+++ b/benches/costs/harness/mod.rs
@@ -1,4 +1,5 @@
-//! A controller at the size of a grown deployment, with a store that answers at once.
+//! A controller with the state of a large deployment, and a state service that answers
+//! immediately.
 
 mod state_service;
 
@@ -12,22 +13,29 @@
 use sumacbend::store::{JobKey, Keys};
 use sumacbend::wire::{Catalogue, JobSpec, MachineType, Report, TaskReport, TaskState};
 
+/// The number of machines of the deployment.
 pub const MACHINES: usize = 2_000;
+/// The number of unfinished jobs of the deployment.
 pub const JOBS: usize = 400;
-pub const TASKS_A_JOB: u32 = 45;
-/// Tasks on each machine; each job has one firing that names its open tasks.
-pub const TASKS_A_MACHINE: usize = 4;
-const MACHINES_A_GROUP: usize = 64;
+/// The number of tasks of each job, of which some are open and the others have not started.
+pub const TASKS_PER_JOB: u32 = 45;
+/// The number of open tasks on each machine. Each job has one chunk, which names its open tasks.
+pub const TASKS_PER_MACHINE: usize = 4;
+/// The number of machines in an inventory group.
+const MACHINES_PER_GROUP: usize = 64;
+/// The time on the monotonic clock at which the controller starts, in milliseconds.
 const START_MS: u64 = 1_000_000;
-/// The claim makes it the first term.
+/// The term of the leader. It is the first, because the stored keys contain no earlier term.
 pub const TERM: u64 = 1;
 
 const SETTINGS: &str = include_str!("../../../tests/support/fleet_settings.toml");
 
+/// Returns the settings of the controller.
 pub fn settings() -> Settings {
     Settings::parse(SETTINGS).expect("valid settings")
 }
 
+/// Returns a catalogue with the only machine type of the deployment.
 pub fn catalogue() -> Catalogue {
     Catalogue {
         types: vec![MachineType {
@@ -45,15 +53,17 @@
     }
 }
 
+/// Returns a job as a user submits it. `priority` is a value of the wire protocol.
 pub fn spec(number: usize, priority: &str) -> JobSpec {
     let spec = json!({"id": format!("j-{number:06}"), "lotType": "allergen-labels", "consignor": "red",
-        "saleFormat": "array", "bidRank": priority, "lots": TASKS_A_JOB, "cores": 4.0, "cards": 0.0, "memGb": 4.0,
+        "saleFormat": "array", "bidRank": priority, "lots": TASKS_PER_JOB, "cores": 4.0, "cards": 0.0, "memGb": 4.0,
         "rigs": null, "yard": null, "oneZone": false, "scatter": false, "loaner": true,
         "catalog": format!("img-{:02}", number % 15), "pullGb": 1.0, "appraisedS": 20.0, "tallyS": 0.0,
         "ledgerS": 0.0, "hammerS": null});
     serde_json::from_value(spec).expect("a job")
 }
 
+/// Returns the value of the key of an unfinished job.
 pub fn job_key(number: usize, priority: &str) -> JobKey {
     JobKey {
         spec: spec(number, priority),
@@ -62,19 +72,22 @@
     }
 }
 
+/// Returns the name of the machine with this number.
 pub fn machine_name(number: usize) -> String {
     format!("host-{number:06}")
 }
 
-/// The job and task in the given place of a machine.
-fn task_at(machine: usize, place: usize) -> (usize, u32) {
-    let task = machine * TASKS_A_MACHINE + place;
+/// Returns the job's number and the task's index within the job for a slot of a machine. A machine
+/// has [`TASKS_PER_MACHINE`] slots, numbered from 0.
+fn task_at(machine: usize, slot: usize) -> (usize, u32) {
+    let task = machine * TASKS_PER_MACHINE + slot;
     (task % JOBS, (task / JOBS) as u32)
 }
 
+/// Returns a report of a machine on which all tasks in its slots are running.
 pub fn report(machine: usize, seq: u64) -> Report {
-    let tasks = (0..TASKS_A_MACHINE).map(|place| {
-        let (job, task) = task_at(machine, place);
+    let tasks = (0..TASKS_PER_MACHINE).map(|slot| {
+        let (job, task) = task_at(machine, slot);
         TaskReport {
             task: format!("j-{job:06}/{task}"),
             attempt: u64::from(task) + 1,
@@ -96,14 +109,14 @@
     }
 }
 
-/// All keys of a deployment in which each machine runs some tasks.
-pub fn stored() -> BTreeMap<String, Value> {
+/// Returns the keys and values of the deployment in the state service, without a leader's claim.
+pub fn stored_entries() -> BTreeMap<String, Value> {
     let keys = Keys::new("pool");
     let mut entries = BTreeMap::from([(keys.catalogue(), json!(catalogue()))]);
     let mut open: BTreeMap<usize, Vec<Value>> = BTreeMap::new();
     for machine in 0..MACHINES {
-        for place in 0..TASKS_A_MACHINE {
-            let (job, task) = task_at(machine, place);
+        for slot in 0..TASKS_PER_MACHINE {
+            let (job, task) = task_at(machine, slot);
             let record = json!([task, u64::from(task) + 1, machine_name(machine), 1]);
             open.entry(job).or_default().push(record);
         }
@@ -111,11 +124,11 @@
     for job in 0..JOBS {
         let key = job_key(job, "high");
         entries.insert(keys.job(&key.spec.id), json!(key));
-        let value = json!({"next": TASKS_A_JOB + 1, "done": "", "open": open.remove(&job).unwrap_or_default()});
+        let value = json!({"next": TASKS_PER_JOB + 1, "done": "", "open": open.remove(&job).unwrap_or_default()});
         entries.insert(keys.task_chunk(&key.spec.id, 0), value);
     }
-    for group in 0..MACHINES.div_ceil(MACHINES_A_GROUP) {
-        let members = (group * MACHINES_A_GROUP..MACHINES).take(MACHINES_A_GROUP);
+    for group in 0..MACHINES.div_ceil(MACHINES_PER_GROUP) {
+        let members = (group * MACHINES_PER_GROUP..MACHINES).take(MACHINES_PER_GROUP);
         let machines: Vec<Value> = members
             .map(|machine| {
                 let report = report(machine, 1);
@@ -136,39 +149,48 @@
     entries
 }
 
-/// A controller and the state service it uses.
+/// A controller under test and the state service that it uses.
 pub struct Harness {
+    /// The controller under test, which leads the shard or is a follower.
     pub controller: Controller,
+    /// The keys of the state service with their values and versions.
     entries: BTreeMap<String, (Value, u64)>,
+    /// The revision of the last transaction.
     revision: u64,
+    /// The time on the monotonic clock, in milliseconds.
     now_ms: u64,
 }
 
 impl Harness {
-    /// A controller that has read the watched keys, and leads if nobody else does.
-    pub fn new(other_leads: bool) -> Harness {
-        let entries = stored().into_iter().map(|(key, value)| (key, (value, 1))).collect();
+    /// Returns a controller that has read the watched keys. If `peer_leads`, the peer `n1` holds
+    /// the claim and the controller is a follower; otherwise the controller leads.
+    pub fn new(peer_leads: bool) -> Harness {
+        let entries = stored_entries()
+            .into_iter()
+            .map(|(key, value)| (key, (value, 1)))
+            .collect();
         let mut harness = Harness {
             controller: Controller::new(settings(), Policy::default(), 7),
             entries,
             revision: 1,
             now_ms: START_MS,
         };
-        if other_leads {
+        if peer_leads {
             let claim = json!({"node": "n1", "life": 3, "term": TERM});
             harness.entries.insert(Keys::new("pool").leader(), (claim, 1));
         }
-        while !other_leads && !harness.controller.leads() {
+        while !peer_leads && !harness.controller.leads() {
             harness.heartbeat(None);
-            harness.pass(50);
+            harness.tick_after(50);
         }
         for _ in 0..20 {
-            harness.heartbeat(other_leads.then_some(TERM));
-            harness.pass(50);
+            harness.heartbeat(peer_leads.then_some(TERM));
+            harness.tick_after(50);
         }
         harness
     }
 
+    /// Receives a heartbeat of the peer `n1`, which leads under `leading_term` if given.
     fn heartbeat(&mut self, leading_term: Option<u64>) {
         let message = Message::Heartbeat {
             node: "n1".into(),
@@ -176,18 +198,20 @@
             leading_term,
             store_reachable: true,
         };
-        self.step(peer(message));
+        self.step(peer_input(message));
     }
 
-    /// Time passes, and a tick comes.
-    pub fn pass(&mut self, ms: u64) -> usize {
+    /// Advances the time by `ms` milliseconds and runs a tick. Returns the number of the
+    /// controller's outputs, without requests to the state service.
+    pub fn tick_after(&mut self, ms: u64) -> usize {
         self.now_ms += ms;
         self.step(Input::Tick).len()
     }
 
-    /// One input, and what the store answers to what it leads to. Gives all else.
+    /// Passes an input to the controller, then the state service's replies to the requests that
+    /// result. Returns all other outputs.
     pub fn step(&mut self, input: Input) -> Vec<Output> {
-        let mut rest = Vec::new();
+        let mut other_outputs = Vec::new();
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             let now = Now {
@@ -197,19 +221,20 @@
             for output in self.controller.step(now, input) {
                 match output {
                     Output::Store { call, request } => {
-                        if let Some(reply) = self.answer(&request) {
+                        if let Some(reply) = self.reply_to(&request) {
                             inputs.push(Input::Store { call, reply });
                         }
                     }
-                    other => rest.push(other),
+                    other => other_outputs.push(other),
                 }
             }
         }
-        rest
+        other_outputs
     }
 }
 
-pub fn peer(message: Message) -> Input {
+/// Returns a message of the peer `n1` as an input of the controller.
+pub fn peer_input(message: Message) -> Input {
     Input::Peer {
         node: "n1".into(),
         message: Box::new(message),
--- a/benches/costs/harness/state_service.rs
+++ b/benches/costs/harness/state_service.rs
@@ -1,11 +1,13 @@
-//! A state service that answers at once.
+//! The harness's state service, which answers requests immediately.
 
 use super::Harness;
 use sumacbend::store::{StoreReply, StoreRequest};
 use sumacbend::wire::{Change, Entry, Log, Page, Transaction};
 
 impl Harness {
-    pub(super) fn answer(&mut self, request: &StoreRequest) -> Option<StoreReply> {
+    /// Returns the reply to a request, or `None` for a watch that waits for changes, which is never
+    /// answered.
+    pub(super) fn reply_to(&mut self, request: &StoreRequest) -> Option<StoreReply> {
         Some(match request {
             StoreRequest::Grant { .. } => StoreReply::Granted { lease: 1 },
             StoreRequest::Renew(_) => StoreReply::Renewed,
@@ -42,6 +44,7 @@
         })
     }
 
+    /// Applies a transaction without checking its conditions.
     fn transact(&mut self, transaction: &Transaction) -> StoreReply {
         self.revision += 1;
         for change in &transaction.changes {
--- a/benches/costs/main.rs
+++ b/benches/costs/main.rs
@@ -1,14 +1,15 @@
-//! What the parts of a controller cost: time and allocations for each, with 2,000
-//! machines, 8,000 open tasks and 400 unfinished jobs. docs/results.md has the table.
+//! Benchmarks of the parts of a controller: the time and the allocations that each takes with
+//! 2,000 machines, 8,000 open tasks and 400 unfinished jobs. The results are in docs/results.md.
 //!
-//! `cargo bench --bench costs`, or `cargo bench --bench costs -- report` for some.
+//! `cargo bench --bench costs` runs all of them, `cargo bench --bench costs -- report` those with
+//! `report` in their name.
 
 mod follower_costs;
 mod harness;
 mod leader_costs;
 
 use divan::{AllocProfiler, Bencher, black_box};
-use harness::{Harness, MACHINES, TERM, peer, report};
+use harness::{Harness, MACHINES, TERM, peer_input, report};
 use sumacbend::controller::{Input, Shard};
 use sumacbend::peers::{Message, RelayedReport, RelayedReportReply, ReportReply, UserRequest};
 use sumacbend::policy::Policy;
@@ -19,56 +20,61 @@
 #[global_allocator]
 static ALLOCATOR: AllocProfiler = AllocProfiler::system();
 
-/// Reports in one frame between controllers.
-const BATCH: usize = 64;
+/// The number of reports in one frame between controllers.
+const REPORTS_PER_FRAME: usize = 64;
 
 fn main() {
     divan::main();
 }
 
+/// Returns a report of machine 1, as the JSON that its worker sends.
 fn json_report(seq: u64) -> Vec<u8> {
-    serde_json::to_vec(&report(1, seq)).expect("written")
+    serde_json::to_vec(&report(1, seq)).expect("encodable as JSON")
 }
 
-/// A leader that has heard all machines.
-fn leader() -> Harness {
+/// Returns a leader that has received a report from every machine.
+fn leader_with_reports() -> Harness {
     let mut harness = Harness::new(false);
     for machine in 0..MACHINES {
-        harness.step(relay(machine, 1, 100));
+        harness.step(relay_reports(machine, 1, 100));
     }
     for _ in 0..40 {
-        harness.pass(50);
+        harness.tick_after(50);
     }
     harness
 }
 
-fn relay(first: usize, count: usize, seq: u64) -> Input {
+/// Returns a peer's message that relays one report each of `count` machines, starting with
+/// machine `first`.
+fn relay_reports(first: usize, count: usize, seq: u64) -> Input {
     let reports = (first..first + count).map(|machine| RelayedReport {
         id: machine as u64,
         report: report(machine % MACHINES, seq),
     });
-    peer(Message::RelayReports {
+    peer_input(Message::RelayReports {
         shard: "pool".into(),
         reports: reports.collect(),
     })
 }
 
-/// A leader's state without the leader: all machines heard, and jobs that wait.
-fn shard(jobs: usize, priority: &str) -> Shard {
+/// Returns a leader's state of the shard, without a controller: all machines have reported and
+/// have no tasks, and `jobs` jobs are waiting.
+fn shard_with_waiting_jobs(jobs: usize, priority: &str) -> Shard {
     let mut shard = Shard::new("pool", TERM, &harness::settings(), &Policy::default());
     shard.set_catalogue(&harness::catalogue());
     for machine in 0..MACHINES {
         shard.add_machine(0, &harness::machine_name(machine), "pantry-rack", "north", true);
-        let heard = Report {
+        let report_without_tasks = Report {
             tasks: Vec::new(),
             ..report(machine, 1)
         };
-        shard.merge_report(0, &heard, ReportPath::CommandReply);
+        shard.merge_report(0, &report_without_tasks, ReportPath::CommandReply);
     }
     for ix in shard.workers.machines.indices() {
         if let Some(machine) = shard.workers.machines.get_mut(ix) {
             machine.is_persisted = true;
-            // The rounds below jump ahead in time.
+            // Placement rounds advance the time by seconds without new reports, which must not make
+            // machines overdue.
             machine.report_due = u64::MAX;
         }
     }
@@ -79,8 +85,9 @@
     shard
 }
 
-/// Places tasks until no machine has room. Gives the time at which that is so.
-fn fill(shard: &mut Shard) -> u64 {
+/// Runs enough placement rounds to fill all machines. Returns the time after the last round, in
+/// milliseconds.
+fn fill_machines(shard: &mut Shard) -> u64 {
     let mut now = 0;
     for _ in 0..100 {
         shard.place(now);
@@ -89,7 +96,7 @@
     now
 }
 
-/// A line at the level that is written.
+/// Writes a log line of an enabled level to a sink.
 #[divan::bench]
 fn log_line(bencher: Bencher<'_, '_>) {
     let subscriber = tracing_subscriber::fmt().with_writer(std::io::sink).finish();
