--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -1,6 +1,6 @@
 //! JSON messages to and from users, workers, the cloud and the state service.
 
-use super::{check_normalized, check_round_trip, decode_json, golden_lines, golden_pairs};
+use super::{check_normalized, check_round_trip, decode_json, golden_pairs};
 use serde::de::DeserializeOwned;
 use sumacbend::wire::*;
 
@@ -49,7 +49,7 @@
 /// Removes one field at a time from the JSON on the first line of the file, and checks that the
 /// decoding error names the field, unless the field is in `optional`.
 fn check_required_fields<T: DeserializeOwned>(name: &str, optional: &[&str]) {
-    let whole: serde_json::Value = decode_json(name, &golden_lines(name)[0]);
+    let whole: serde_json::Value = decode_json(name, &super::golden_lines(name)[0]);
     let fields = whole.as_object().expect("an object");
     for field in fields.keys() {
         let mut incomplete = fields.clone();
@@ -82,7 +82,7 @@
 /// that workers report for their tasks.
 #[test]
 fn unknown_enum_values_are_rejected_in_jobs_and_accepted_in_reports() {
-    let job = &golden_lines("wire/job.txt")[0];
+    let job = &super::golden_lines("wire/job.txt")[0];
     for (known, unknown) in [("\"high\"", "\"urgent\""), ("\"array\"", "\"gang\"")] {
         let job = job.replace(known, unknown);
         assert!(serde_json::from_str::<JobSpec>(&job).is_err(), "{unknown}");
