--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -83,7 +83,7 @@
     pub zones: Vec<String>,
     /// Bound on how far the wall clocks of two machines differ, in milliseconds.
     #[serde(rename = "time_bound_ms")]
-    pub clock_off_ms: f64,
+    pub max_clock_skew_ms: f64,
     /// Teams that submit jobs.
     pub teams: Vec<Team>,
     /// What the site is expected to achieve.
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -114,7 +114,7 @@
 fn check_not_negative(params: &Params) -> Validity {
     let values = [
         ("params.cloud.list_lag_s", params.cloud.list_lag_s),
-        ("params.time_bound_ms", params.clock_off_ms),
+        ("params.time_bound_ms", params.max_clock_skew_ms),
     ];
     for (field, value) in values {
         if !is_amount(value) {
