--- a/src/runtime/serve.rs
+++ b/src/runtime/serve.rs
@@ -85,7 +85,7 @@
         senders.urgent.clone(),
         senders.users.clone(),
         connections.served,
-        settings.bodies_kib(),
+        settings.max_submissions_kib(),
     );
     tokio::spawn(http_server::serve(listener, endpoint, monitor));
     Ok(())
--- a/src/settings/connection_limits.rs
+++ b/src/settings/connection_limits.rs
@@ -60,7 +60,7 @@
     }
 
     /// KiB of submissions that may be in hand at once.
-    pub fn bodies_kib(&self) -> usize {
+    pub fn max_submissions_kib(&self) -> usize {
         (self.memory_bytes() * BODIES_MEMORY_PART / BYTES_PER_KIB) as usize
     }
 
--- a/tests/golden/operators.rs
+++ b/tests/golden/operators.rs
@@ -25,7 +25,7 @@
     writeln!(text, "kept_idle {}", connections.kept_idle).expect("written");
     writeln!(text, "in_flight {}", connections.in_flight).expect("written");
     writeln!(text, "backlog {}", connections.backlog).expect("written");
-    writeln!(text, "bodies_kib {}", settings.bodies_kib()).expect("written");
+    writeln!(text, "bodies_kib {}", settings.max_submissions_kib()).expect("written");
     writeln!(text, "event_queue {}", settings.event_queue()).expect("written");
     for warning in settings.warnings() {
         writeln!(text, "warning {warning}").expect("written");
