--- a/src/runtime/serve.rs
+++ b/src/runtime/serve.rs
@@ -63,8 +63,8 @@
 }
 
 fn event_queues(settings: &Settings) -> (EventSenders, EventQueues) {
-    let (store, store_events) = mpsc::channel(settings.event_queue());
-    let (urgent, urgent_events) = mpsc::channel(settings.event_queue());
+    let (store, store_events) = mpsc::channel(settings.event_queue_capacity());
+    let (urgent, urgent_events) = mpsc::channel(settings.event_queue_capacity());
     let (users, user_events) = mpsc::channel(USER_QUEUE);
     let senders = EventSenders { store, urgent, users };
     let queues = EventQueues {
--- a/src/settings/connection_limits.rs
+++ b/src/settings/connection_limits.rs
@@ -66,7 +66,7 @@
 
     /// Events that may wait for the controller: each connection has one report in
     /// flight, and all workers report at once after an outage.
-    pub fn event_queue(&self) -> usize {
+    pub fn event_queue_capacity(&self) -> usize {
         self.params.limits.max_connections as usize + SPARE_EVENTS
     }
 
--- a/tests/golden/operators.rs
+++ b/tests/golden/operators.rs
@@ -26,7 +26,7 @@
     writeln!(text, "in_flight {}", connections.in_flight).expect("written");
     writeln!(text, "backlog {}", connections.backlog).expect("written");
     writeln!(text, "bodies_kib {}", settings.max_submissions_kib()).expect("written");
-    writeln!(text, "event_queue {}", settings.event_queue()).expect("written");
+    writeln!(text, "event_queue {}", settings.event_queue_capacity()).expect("written");
     for warning in settings.warnings() {
         writeln!(text, "warning {warning}").expect("written");
     }
