--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -43,7 +43,7 @@
 use crate::election::{Connectivity, LeaderElection, LeaseRequest};
 use crate::peers::PeerLinks;
 use crate::policy::Policy;
-use crate::settings::{Connections, Settings};
+use crate::settings::{ConnectionLimits, Settings};
 use crate::store::{Keys, StoreRequest, WatchCache};
 use crate::wire::Catalogue;
 use crate::{Millis, Now};
@@ -73,7 +73,7 @@
     settings: Settings,
     policy: Policy,
     keys: Keys,
-    connections: Connections,
+    connections: ConnectionLimits,
     now: Millis,
     wall_clock: Millis,
     /// What the step in progress returns.
--- a/src/settings/connection_limits.rs
+++ b/src/settings/connection_limits.rs
@@ -29,7 +29,7 @@
 
 /// How many connections may be open for each purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Connections {
+pub struct ConnectionLimits {
     /// From workers, users and health checks.
     pub served: u32,
     /// To workers, kept open between commands.
@@ -42,7 +42,7 @@
 
 impl Settings {
     /// How many connections the limits on sockets and memory allow.
-    pub fn connections(&self) -> Connections {
+    pub fn connections(&self) -> ConnectionLimits {
         let max_sockets = f64::from(self.params.limits.max_connections);
         let by_memory = self.memory_bytes() * CONNECTIONS_MEMORY_PART / CONNECTION_BYTES;
         let backlog = max_sockets * BACKLOG_PART;
@@ -51,7 +51,7 @@
         let in_flight = at_least_one(all * IN_FLIGHT_PART);
         let fixed = FIXED_CONNECTIONS.min(all as u32 / FIXED_CONNECTIONS_DIVISOR);
         let outgoing = (kept_idle + in_flight) as u32 + fixed;
-        Connections {
+        ConnectionLimits {
             served: (all as u32).saturating_sub(outgoing).max(1),
             kept_idle,
             in_flight,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -5,7 +5,7 @@
 mod lease_timing;
 mod validation;
 
-pub use connection_limits::Connections;
+pub use connection_limits::ConnectionLimits;
 pub use validation::{InvalidSetting, Problem};
 
 use serde::Deserialize;
