--- a/src/runtime/service_calls/store.rs
+++ b/src/runtime/service_calls/store.rs
@@ -3,7 +3,7 @@
 use super::{CallResult, json};
 use crate::runtime::http_client::{HttpRequest, HttpResponse, RequestError};
 use crate::store::{StoreReply, StoreRequest};
-use crate::wire::{Entry, LeaseAnswer, LeaseRequest, Revision};
+use crate::wire::{Entry, LeaseAnswer, LeaseRequest, TransactionAnswer};
 use bytes::Bytes;
 use hyper::Method;
 use std::time::Duration;
@@ -86,11 +86,13 @@
         }),
         (StoreRequest::Get(_), 404) => Some(StoreReply::Missing),
         (StoreRequest::List { .. }, 200) => json::decode(body).map(StoreReply::Page),
-        (StoreRequest::Transact(_), 200) => json::decode::<Revision>(body).map(|answer| StoreReply::Committed {
-            revision: answer.revision,
-        }),
+        (StoreRequest::Transact(_), 200) => {
+            json::decode::<TransactionAnswer>(body).map(|answer| StoreReply::Committed {
+                revision: answer.revision,
+            })
+        }
         (StoreRequest::Transact(_), 409) => {
-            json::decode::<Revision>(body).map(|answer| StoreReply::Conflict { failed: answer.failed })
+            json::decode::<TransactionAnswer>(body).map(|answer| StoreReply::Conflict { failed: answer.failed })
         }
         (StoreRequest::Transact(_), 400) => {
             tracing::warn!(body = %String::from_utf8_lossy(body), "the state service refused a transaction");
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -12,7 +12,9 @@
 mod workers;
 
 pub use cloud::{Catalogue, ListedMachine, MachineList, MachineNames, MachineRequest, MachineState, MachineType};
-pub use store::{Change, Condition, Entry, Event, LeaseAnswer, LeaseRequest, Log, Page, Revision, Transaction};
+pub use store::{
+    Change, Condition, Entry, Event, LeaseAnswer, LeaseRequest, Log, Page, Transaction, TransactionAnswer,
+};
 pub use users::{JobSpec, JobState, JobStatus, Kind, Priority};
 pub use workers::{Command, DirectCommands, ExitReason, Redirect, Report, ReportAnswer, TaskReport, TaskState};
 
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -100,7 +100,7 @@
 /// The answer to a transaction.
 // The revision is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Revision {
+pub struct TransactionAnswer {
     /// Revision of the store after the transaction, also the version of every key it put.
     #[serde(rename = "bookRev")]
     pub revision: u64,
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -37,8 +37,8 @@
     round_trip::<Page>("wire/page.txt");
     reads_as::<Page>("wire/page_read.txt");
     round_trip::<Transaction>("wire/transaction.txt");
-    round_trip::<Revision>("wire/revision.txt");
-    reads_as::<Revision>("wire/revision_read.txt");
+    round_trip::<TransactionAnswer>("wire/revision.txt");
+    reads_as::<TransactionAnswer>("wire/revision_read.txt");
     round_trip::<LeaseRequest>("wire/lease_request.txt");
     round_trip::<LeaseAnswer>("wire/lease_answer.txt");
     reads_as::<LeaseAnswer>("wire/lease_answer_read.txt");
@@ -69,7 +69,7 @@
     misses_fields::<Page>("wire/page.txt", &["more"]);
     misses_fields::<MachineList>("wire/machine_list.txt", &["more"]);
     misses_fields::<Entry>("wire/entry.txt", &[]);
-    misses_fields::<Revision>("wire/revision.txt", &[]);
+    misses_fields::<TransactionAnswer>("wire/revision.txt", &[]);
     misses_fields::<LeaseAnswer>("wire/lease_answer.txt", &[]);
     misses_fields::<Log>("wire/log.txt", &[]);
     misses_fields::<Catalogue>("wire/catalogue.txt", &[]);
