--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -15,7 +15,7 @@
 pub use store::{
     Change, Condition, Entry, Event, LeaseAnswer, LeaseRequest, Log, Page, Transaction, TransactionAnswer,
 };
-pub use users::{JobSpec, JobState, JobStatus, Kind, Priority};
+pub use users::{JobKind, JobSpec, JobState, JobStatus, Priority};
 pub use workers::{Command, DirectCommands, ExitReason, Redirect, Report, ReportAnswer, TaskReport, TaskState};
 
 #[cfg(test)]
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -23,7 +23,7 @@
 /// How the tasks of a job relate to one another.
 // Renamed to the protocol's lower-case name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     #[serde(rename = "array")]
     Array,
@@ -44,7 +44,7 @@
     pub team: String,
     /// How its tasks relate to one another.
     #[serde(rename = "saleFormat")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Priority of all its tasks.
     #[serde(rename = "bidRank")]
     pub priority: Priority,
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -104,7 +104,7 @@
             id: String::new(),
             class: "sort".into(),
             team: "red".into(),
-            kind: Kind::Array,
+            kind: JobKind::Array,
             priority: Priority::High,
             tasks: 1,
             cpus: 1.0,
