--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -44,7 +44,7 @@
     Busy,
     /// Start refused: the worker knows no such job or task.
     #[serde(rename = "no_such")]
-    Unknown,
+    UnknownTask,
     /// A reason that this version of the protocol does not name.
     #[serde(other)]
     Other,
