--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -92,7 +92,7 @@
     /// Timing of the workers.
     pub workers: Workers,
     /// Limits of the state service.
-    pub state: State,
+    pub state: StoreLimits,
     /// Limits of the cloud.
     pub cloud: Cloud,
     /// Limits on this process.
@@ -142,7 +142,7 @@
 
 /// Limits of the state service.
 #[derive(Clone, Debug, Deserialize)]
-pub struct State {
+pub struct StoreLimits {
     /// Requests a second.
     pub rps: f64,
     /// Puts and deletes a second.
