--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -94,7 +94,7 @@
     /// Limits of the state service.
     pub state: StoreLimits,
     /// Limits of the cloud.
-    pub cloud: Cloud,
+    pub cloud: CloudLimits,
     /// Limits on this process.
     #[serde(rename = "quota")]
     pub limits: Limits,
@@ -155,7 +155,7 @@
 
 /// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Cloud {
+pub struct CloudLimits {
     /// Requests a second.
     pub rps: f64,
     /// How long a change may take to show in the list of machines, in seconds.
