--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -90,7 +90,7 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Timing of the workers.
-    pub workers: Workers,
+    pub workers: WorkerTiming,
     /// Limits of the state service.
     pub state: StoreLimits,
     /// Limits of the cloud.
@@ -130,7 +130,7 @@
 
 /// Timing of the workers.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Workers {
+pub struct WorkerTiming {
     /// Interval between two reports of a worker, in seconds.
     pub report_s: f64,
     /// How long a worker keeps its tasks without an answer, in seconds.
