--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -63,7 +63,7 @@
     },
     /// A team that is given a second time.
     #[error("is given twice")]
-    GivenTwice,
+    DuplicateTeam,
     /// A controller whose name is given a second time.
     #[error("`{node}` is named twice")]
     NodeNamedTwice {
@@ -151,7 +151,7 @@
     for team in teams {
         let field = format!("params.teams.{}", team.name);
         if !names.insert(team.name.as_str()) {
-            return refuse(&field, Problem::GivenTwice);
+            return refuse(&field, Problem::DuplicateTeam);
         }
         let amounts = [
             ("cpus", team.cpus),
