--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -66,7 +66,7 @@
     DuplicateTeam,
     /// A controller whose name is given a second time.
     #[error("`{node}` is named twice")]
-    NodeNamedTwice {
+    DuplicateNode {
         /// The name of the controller.
         node: String,
     },
@@ -173,7 +173,7 @@
     for peer in peers {
         if !names.insert(peer.node.as_str()) {
             let node = peer.node.clone();
-            return refuse("seeds", Problem::NodeNamedTwice { node });
+            return refuse("seeds", Problem::DuplicateNode { node });
         }
     }
     Ok(())
