--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -57,7 +57,7 @@
     },
     /// A list that must not be empty.
     #[error("must name at least one {item}")]
-    NoneNamed {
+    EmptyList {
         /// What the list is of.
         item: &'static str,
     },
@@ -181,7 +181,7 @@
 
 fn require_some<T>(list: &[T], field: &str, item: &'static str) -> Validity {
     if list.is_empty() {
-        return refuse(field, Problem::NoneNamed { item });
+        return refuse(field, Problem::EmptyList { item });
     }
     Ok(())
 }
