--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -1,9 +1,10 @@
-//! The clocks of this process.
+//! The monotonic clock and the wall clock of this process.
 
 use crate::{Millis, Now};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Where the monotonic clock starts: well above 0, so that "long ago" can be told.
+/// Initial value of the monotonic clock. It is well above 0, so that times long before the
+/// start of the process can be represented.
 const MONOTONIC_START_MS: Millis = 1_000_000;
 
 /// Reads the monotonic clock and the wall clock.
@@ -12,12 +13,12 @@
 }
 
 impl Clock {
-    /// A clock whose monotonic time starts now.
+    /// Creates a clock whose monotonic time starts now.
     pub fn new() -> Clock {
         Clock { start: Instant::now() }
     }
 
-    /// The time on both clocks.
+    /// Returns the current time on both clocks.
     pub fn now(&self) -> Now {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         Now {
--- a/src/runtime/event.rs
+++ b/src/runtime/event.rs
@@ -1,31 +1,31 @@
-//! What the event loop takes in.
+//! The events that the event loop processes.
 
 use crate::controller::Input;
 use crate::peers::{Answer, UserRequest};
 use crate::wire::Report;
 use tokio::sync::oneshot;
 
-/// What the HTTP server, the peer links and the service calls hand to the event loop.
+/// An event for the event loop, sent by the HTTP server, a peer link or a service call.
 pub enum Event {
-    /// A user asks.
+    /// A request from a user.
     UserRequest {
-        /// What is asked.
+        /// The request: submits, shows or cancels a job.
         user_request: UserRequest,
-        /// Takes the answer.
+        /// Receives the answer, which becomes the HTTP response.
         reply: oneshot::Sender<Answer>,
     },
     /// A health check.
     Health {
-        /// Takes the answer.
+        /// Receives the answer, which becomes the HTTP response.
         reply: oneshot::Sender<Answer>,
     },
-    /// A worker reports.
+    /// A report (heartbeat) from a worker.
     Report {
-        /// What it says.
+        /// The decoded report.
         report: Box<Report>,
-        /// Takes the answer.
+        /// Receives the answer, which becomes the HTTP response.
         reply: oneshot::Sender<Answer>,
     },
-    /// Anything else, as the controller takes it.
+    /// Any other input, passed to the controller unchanged.
     Input(Input),
 }
--- a/src/runtime/event_loop.rs
+++ b/src/runtime/event_loop.rs
@@ -1,4 +1,4 @@
-//! Feeds the controller one event after the other and carries out what it wants.
+//! Feeds events to the controller one at a time and carries out the outputs that it returns.
 
 use super::clock::Clock;
 use super::event::Event;
@@ -11,36 +11,37 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Where messages to each peer are queued, by the name of the peer.
+/// The queue of outgoing messages for each peer, by node name.
 pub type PeerQueues = HashMap<String, mpsc::Sender<Message>>;
 
-/// The queues of events, in the order of their priority.
+/// The event queues, in descending order of priority.
 ///
-/// The state service first, then workers and peers, users last: a leader that falls
-/// behind must not lose its lease to reports, nor its workers to polls.
+/// The state service comes first, then workers and peers, and users last: a leader that
+/// falls behind must not lose its lease because of reports, nor its workers because of
+/// users' polls.
 pub struct EventQueues {
-    /// Answers of the state service, on which the leader's lease depends.
+    /// Replies of the state service, on which the leader's lease depends.
     pub store: mpsc::Receiver<Event>,
-    /// Workers, peers, health checks and answers of other services.
+    /// Reports of workers, messages of peers, health checks and replies of other services.
     pub urgent: mpsc::Receiver<Event>,
-    /// Users.
+    /// Requests from users.
     pub users: mpsc::Receiver<Event>,
 }
 
-/// The controller with all that connects it to the world.
+/// The controller, its clock and its connections to services, peers and clients.
 pub struct EventLoop {
     monitor: Arc<EventLoopMonitor>,
     clock: Clock,
     controller: Controller,
     calls: ServiceCalls,
     peers: PeerQueues,
-    /// Takes the answer to each request that has none yet.
-    has_unanswered_command: BTreeMap<u64, oneshot::Sender<Answer>>,
-    last_request: u64,
+    /// The reply channels of all requests that have not been answered yet, by request number.
+    pending_replies: BTreeMap<u64, oneshot::Sender<Answer>>,
+    last_request_number: u64,
 }
 
 impl EventLoop {
-    /// An event loop that tells the monitor of its ticks.
+    /// Creates an event loop that records its ticks in `monitor`.
     pub fn new(
         monitor: Arc<EventLoopMonitor>,
         controller: Controller,
@@ -53,12 +54,12 @@
             controller,
             calls,
             peers,
-            has_unanswered_command: BTreeMap::new(),
-            last_request: 0,
+            pending_replies: BTreeMap::new(),
+            last_request_number: 0,
         }
     }
 
-    /// Runs for as long as the process does.
+    /// Processes events until the process ends.
     pub async fn run(mut self, mut queues: EventQueues) {
         let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -73,62 +74,62 @@
                 Some(event) = queues.urgent.recv() => event,
                 Some(event) = queues.users.recv() => event,
             };
-            let input = self.input_of(event);
+            let input = self.input_from_event(event);
             for output in self.controller.step(self.clock.now(), input) {
-                self.apply_effects(output);
+                self.perform_output(output);
             }
         }
     }
 
-    fn input_of(&mut self, event: Event) -> Input {
+    fn input_from_event(&mut self, event: Event) -> Input {
         match event {
             Event::UserRequest { user_request, reply } => Input::User {
-                request: self.register(reply),
+                request: self.register_request(reply),
                 user_request,
             },
             Event::Health { reply } => Input::Health {
-                request: self.register(reply),
+                request: self.register_request(reply),
             },
             Event::Report { report, reply } => Input::Report {
-                request: self.register(reply),
+                request: self.register_request(reply),
                 report,
             },
             Event::Input(input) => input,
         }
     }
 
-    /// Numbers a request, so that its answer finds the way back.
-    fn register(&mut self, reply: oneshot::Sender<Answer>) -> u64 {
-        self.last_request += 1;
-        self.has_unanswered_command.insert(self.last_request, reply);
-        self.last_request
+    /// Assigns a number to a request and keeps the channel for its answer under it.
+    fn register_request(&mut self, reply: oneshot::Sender<Answer>) -> u64 {
+        self.last_request_number += 1;
+        self.pending_replies.insert(self.last_request_number, reply);
+        self.last_request_number
     }
 
-    fn apply_effects(&mut self, output: Output) {
+    fn perform_output(&mut self, output: Output) {
         match output {
-            Output::Answer { request, answer } => self.answer(request, answer),
+            Output::Answer { request, answer } => self.send_answer(request, answer),
             Output::Peer { node, message } => self.send_to_peer(&node, message),
-            Output::Store { call, request } => self.calls.store(call, request),
-            Output::Cloud { call, request } => self.calls.cloud(call, request),
+            Output::Store { call, request } => self.calls.call_store(call, request),
+            Output::Cloud { call, request } => self.calls.call_cloud(call, request),
             Output::Worker {
                 call,
                 address,
                 commands,
-            } => self.calls.worker(call, address, commands),
+            } => self.calls.call_worker(call, address, commands),
         }
     }
 
-    fn answer(&mut self, request: u64, answer: Answer) {
-        if let Some(reply) = self.has_unanswered_command.remove(&request) {
-            // The asker may have gone; then nobody needs it.
+    fn send_answer(&mut self, request: u64, answer: Answer) {
+        if let Some(reply) = self.pending_replies.remove(&request) {
+            // Fails if the client has disconnected; the answer is then no longer needed.
             let _ = reply.send(answer);
         }
     }
 
     fn send_to_peer(&self, node: &str, message: Message) {
         if let Some(queue) = self.peers.get(node) {
-            // A full queue means a dead link; its messages are worth nothing by the
-            // time it would take them.
+            // A full queue means that the link is dead. Its messages would be out of date
+            // by the time they could be sent, so they are dropped.
             let _ = queue.try_send(message);
         }
     }
--- a/src/runtime/event_loop_monitor.rs
+++ b/src/runtime/event_loop_monitor.rs
@@ -1,28 +1,28 @@
-//! Whether the event loop keeps up.
+//! Detects when the event loop falls behind.
 //!
 //! Connection tasks and the event loop share one thread. When thousands of workers
-//! connect anew at once, as after a crash of all controllers, serving them as fast as
-//! they come would leave no time for the lease and for taking over, and without a
-//! leader they come again a second later. So connections are accepted only while the
-//! loop keeps up; the others wait in the listener's queue.
+//! reconnect at once, as after a crash of all controllers, serving them as fast as they
+//! connect would leave no time for renewing the lease or taking over leadership, and
+//! without a leader the workers reconnect a second later. Connections are therefore
+//! accepted only while the event loop keeps up; the others wait in the listener's backlog.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// The loop ticks this often when it keeps up.
+/// Interval between two ticks of an event loop that keeps up.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// A tick later than this means that it does not.
+/// A tick that is delayed by more than this means that the event loop is behind.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(100);
 
-/// Knows when the event loop last ticked.
+/// Records when the event loop last ticked.
 pub struct EventLoopMonitor {
     start: Instant,
-    /// Since `start`.
+    /// Milliseconds from `start` to the last tick.
     last_tick_ms: AtomicU64,
 }
 
 impl EventLoopMonitor {
-    /// Counts the loop as on time for now.
+    /// Creates a monitor that considers the event loop on time at first.
     pub fn new() -> EventLoopMonitor {
         EventLoopMonitor {
             start: Instant::now(),
@@ -30,13 +30,13 @@
         }
     }
 
-    /// Notes that the loop ticks now.
+    /// Records that the event loop ticks now.
     pub fn record_tick(&self) {
         let elapsed_ms = self.start.elapsed().as_millis() as u64;
         self.last_tick_ms.store(elapsed_ms, Ordering::Relaxed);
     }
 
-    /// Whether the next tick is late by now.
+    /// Whether the next tick is overdue.
     pub fn is_behind(&self) -> bool {
         self.is_behind_at(self.start.elapsed())
     }
--- a/src/runtime/http_client/idle_connections.rs
+++ b/src/runtime/http_client/idle_connections.rs
@@ -1,17 +1,17 @@
-//! Connections without a request, kept for the next one to the same address.
+//! Idle connections, kept for the next request to the same address.
 
 use super::Connection;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Connections kept to one address.
+/// Maximum number of idle connections to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 8;
 
-/// The connections without a request, at most so many in all.
+/// The idle connections to all addresses, with an upper bound on their number.
 pub(super) struct IdleConnections {
-    /// No address without any connection stays.
+    /// The idle connections by address. An address without any is removed.
     pub(super) by_address: HashMap<SocketAddr, Vec<Connection>>,
-    /// Connections to all addresses.
+    /// Number of idle connections to all addresses together.
     pub(super) count: usize,
     max: usize,
 }
@@ -25,37 +25,38 @@
         }
     }
 
-    /// A connection to the address that can take a request, the last kept first.
+    /// Takes a connection to the address that is ready for a request, most recently kept first.
     pub(super) fn take(&mut self, address: SocketAddr) -> Option<Connection> {
-        let kept = self.by_address.get_mut(&address)?;
+        let connections = self.by_address.get_mut(&address)?;
         let mut ready = None;
-        while let Some(connection) = kept.pop() {
+        while let Some(connection) = connections.pop() {
             self.count -= 1;
             if connection.is_ready() {
                 ready = Some(connection);
                 break;
             }
         }
-        if kept.is_empty() {
+        if connections.is_empty() {
             self.by_address.remove(&address);
         }
         ready
     }
 
-    /// Keeps a connection, if need be instead of those to another address.
+    /// Keeps a connection. If that exceeds the maximum, drops those to another address.
     pub(super) fn keep(&mut self, address: SocketAddr, connection: Connection) {
         if self.count >= self.max {
-            self.drop_other(address);
+            self.drop_another_address(address);
         }
-        let kept = self.by_address.entry(address).or_default();
-        if kept.len() < MAX_IDLE_PER_ADDRESS {
-            kept.push(connection);
+        let connections = self.by_address.entry(address).or_default();
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
+            connections.push(connection);
             self.count += 1;
         }
     }
 
-    /// Any of them: all are as good as gone if they are not used again.
-    fn drop_other(&mut self, address: SocketAddr) {
+    /// Drops the connections to any other address. Which one does not matter, because
+    /// connections that are not used again are of no value.
+    fn drop_another_address(&mut self, address: SocketAddr) {
         let other = self.by_address.keys().find(|&&other| other != address).copied();
         if let Some(dropped) = other.and_then(|other| self.by_address.remove(&other)) {
             self.count -= dropped.len();
--- a/src/runtime/http_client/message.rs
+++ b/src/runtime/http_client/message.rs
@@ -1,4 +1,4 @@
-//! What is sent, what comes back, and why nothing may come back.
+//! Requests, responses, and the errors of requests without a response.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -10,18 +10,18 @@
 /// A request with a JSON body, or without a body.
 #[derive(Clone, Debug)]
 pub struct HttpRequest {
-    /// The HTTP method.
+    /// The HTTP method, such as GET or POST.
     pub method: Method,
-    /// Path and query.
+    /// The path and query of the URL.
     pub path: String,
-    /// The body; empty where there is none.
+    /// The JSON body; empty if the request has none.
     pub body: Bytes,
     /// How long to wait for the head of the response, and again for its body.
     pub timeout: Duration,
 }
 
 impl HttpRequest {
-    /// The request as it is sent to an address; the body is shared with it.
+    /// Builds the message to send to an address. It shares the body with this request.
     pub(super) fn to_message(&self, address: SocketAddr) -> Result<Request<Full<Bytes>>, RequestError> {
         Request::builder()
             .method(self.method.clone())
@@ -33,29 +33,29 @@
     }
 }
 
-/// A complete response.
+/// A response that was received completely.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpResponse {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body.
+    /// The whole body; its format depends on the service.
     pub body: Bytes,
 }
 
 impl HttpResponse {
-    /// Whether the request was done.
+    /// Whether the status says that the request succeeded (2xx).
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 }
 
-/// Why there is no response.
+/// Why a request got no complete response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RequestError {
-    /// Surely not delivered, now or later.
+    /// The request was not delivered and will not be delivered later.
     #[error("the request could not be sent")]
     NotSent,
-    /// Perhaps executed, perhaps later.
-    #[error("the request was sent, but no complete response came; it may have been executed")]
+    /// The request may have been executed, or may still be executed later.
+    #[error("the request was sent, but no complete response arrived; it may have been executed")]
     OutcomeUnknown,
 }
--- a/src/runtime/http_client/mod.rs
+++ b/src/runtime/http_client/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 calls over kept connections.
+//! An HTTP/1.1 client that reuses its connections.
 
 mod idle_connections;
 mod message;
@@ -19,12 +19,12 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
-/// Connections kept by a client that talks to a few addresses only.
+/// Maximum number of idle connections of a client that uses only a few addresses.
 const DEFAULT_MAX_IDLE: usize = 8;
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// HTTP/1.1 over a few kept connections per address.
+/// An HTTP/1.1 client that keeps a few idle connections per address. Clones share them.
 #[derive(Clone)]
 pub struct HttpClient {
     idle: Arc<Mutex<IdleConnections>>,
@@ -37,7 +37,7 @@
 }
 
 impl HttpClient {
-    /// Keeps at most so many connections without a request.
+    /// Creates a client that keeps at most `max_idle` idle connections to all addresses together.
     pub fn new(max_idle: usize) -> HttpClient {
         HttpClient {
             idle: Arc::new(Mutex::new(IdleConnections::new(max_idle))),
@@ -59,7 +59,7 @@
                     self.keep_idle(address, connection);
                     return Ok(response);
                 }
-                // The other side had closed the kept connection: another may do.
+                // The server had closed the reused connection: tries another one.
                 Err(RequestError::NotSent) if is_reused => {}
                 Err(error) => return Err(error),
             }
@@ -87,28 +87,28 @@
         .await
         .map_err(|_| RequestError::NotSent)?;
     tokio::spawn(async move {
-        // How it ended shows in the requests made on it.
+        // An error is ignored here because the requests on the connection fail with it.
         let _ = connection.await;
     });
     Ok(sender)
 }
 
-/// Sends a request on a connection and reads the response, its head and its body for
-/// `patience` each.
+/// Sends a request on a connection and reads the response. Waits up to `part_timeout` for its
+/// head, and again for its body.
 async fn exchange(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
-    patience: Duration,
+    part_timeout: Duration,
 ) -> Result<HttpResponse, RequestError> {
-    let response = match timeout(patience, connection.send_request(request)).await {
+    let response = match timeout(part_timeout, connection.send_request(request)).await {
         Ok(Ok(response)) => response,
-        // Nothing of it was written yet when the connection ended.
+        // The connection ended before any part of the request was written.
         Ok(Err(error)) if error.is_canceled() => return Err(RequestError::NotSent),
         Ok(Err(_)) | Err(_) => return Err(RequestError::OutcomeUnknown),
     };
     let status = response.status().as_u16();
     let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect();
-    match timeout(patience, body).await {
+    match timeout(part_timeout, body).await {
         Ok(Ok(body)) => Ok(HttpResponse {
             status,
             body: body.to_bytes(),
--- a/src/runtime/http_client/tests.rs
+++ b/src/runtime/http_client/tests.rs
@@ -3,8 +3,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Answers every request on every connection with 200 and keeps it open.
-async fn serve_empty_answers() -> SocketAddr {
+/// Starts a server that answers every request with 200 and keeps the connection open.
+async fn serve_empty_responses() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     tokio::spawn(async move {
@@ -21,13 +21,13 @@
     address
 }
 
-/// Guards against more sockets kept idle than the settings leave for them, with as
-/// many workers as there may be.
+/// Guards against a client that keeps more idle sockets than the settings reserve for
+/// them, because it keeps some for each of many workers.
 #[tokio::test(flavor = "current_thread")]
 async fn no_more_connections_are_kept_than_allowed() {
     let client = HttpClient::new(2);
     for _ in 0..4 {
-        let address = serve_empty_answers().await;
+        let address = serve_empty_responses().await;
         for _ in 0..2 {
             let request = HttpRequest {
                 method: Method::GET,
--- a/src/runtime/http_endpoint.rs
+++ b/src/runtime/http_endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints for users, workers and health checks.
+//! The HTTP interface for users, workers and health checks.
 
 mod routes;
 
@@ -14,26 +14,28 @@
 use tokio::time::timeout;
 
 const MAX_JOB_BYTES: usize = 64 * 1024;
-/// A report lists every task of its machine and may be longer than a job.
+/// A report lists every task on its machine and may therefore be longer than a job.
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
 const BYTES_PER_KIB: usize = 1024;
-/// A body that takes longer to arrive holds memory for nothing: users give up
-/// after 5 s, workers after 4 s.
+/// Time limit for receiving a body. A body that takes longer only holds memory, because
+/// users give up after 5 s and workers after 4 s.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// With less than one in this many connections free, each is closed after its
-/// answer. Workers and users keep theirs between requests, and where few
-/// controllers are left the rest would wait for one until their leases are over.
+/// When fewer than one in this many connections are free, each connection is closed after
+/// its response. Workers and users keep their connections open between requests; where few
+/// controllers are left, the remaining workers would otherwise wait for a connection until
+/// their leases expire.
 const FREE_CONNECTIONS_DIVISOR: usize = 8;
 
-/// Turns requests into events for the controller, and its answers into responses.
+/// Turns HTTP requests into events for the controller, and its answers into HTTP responses.
 pub struct HttpEndpoint {
     urgent: mpsc::Sender<Event>,
     users: mpsc::Sender<Event>,
     max_connections: usize,
+    /// One permit for each connection that may be opened in addition to the open ones.
     free_connections: Arc<Semaphore>,
-    /// One permit for each KiB of submissions that may be in hand.
-    free_bodies_kib: Semaphore,
+    /// One permit for each KiB of submissions that may still be held in memory.
+    free_submissions_kib: Semaphore,
 }
 
 impl Endpoint for HttpEndpoint {
@@ -41,26 +43,26 @@
 
     async fn call(&self, mut request: Request) -> poem::Result<Response> {
         let path = request.uri().path().to_owned();
-        let answer = match Route::of(request.method(), &path) {
-            Ok(Route::Health) => self.send(&self.urgent, |reply| Event::Health { reply }).await,
-            Ok(Route::Report) => self.report(&mut request).await,
-            Ok(Route::SubmitJob) => self.submit(&mut request).await,
-            Ok(Route::ShowJob(id)) => self.ask(UserRequest::Show(id.into())).await,
-            Ok(Route::CancelJob(id)) => self.ask(UserRequest::Cancel(id.into())).await,
+        let answer = match Route::resolve(request.method(), &path) {
+            Ok(Route::Health) => self.send_event(&self.urgent, |reply| Event::Health { reply }).await,
+            Ok(Route::Report) => self.receive_report(&mut request).await,
+            Ok(Route::SubmitJob) => self.submit_job(&mut request).await,
+            Ok(Route::ShowJob(id)) => self.send_user_request(UserRequest::Show(id.into())).await,
+            Ok(Route::CancelJob(id)) => self.send_user_request(UserRequest::Cancel(id.into())).await,
             Err(error) => text(error.status(), &error.to_string()),
         };
-        Ok(self.respond(answer))
+        Ok(self.build_response(answer))
     }
 }
 
 impl HttpEndpoint {
-    /// Serves at most so many connections at once, with at most so many KiB of
-    /// submissions in hand.
+    /// Creates an endpoint for at most `max_connections` open connections, which holds at
+    /// most `max_submissions_kib` KiB of submissions in memory at once.
     pub fn new(
         urgent: mpsc::Sender<Event>,
         users: mpsc::Sender<Event>,
         max_connections: u32,
-        max_bodies_kib: usize,
+        max_submissions_kib: usize,
     ) -> HttpEndpoint {
         let max_connections = max_connections as usize;
         HttpEndpoint {
@@ -68,44 +70,52 @@
             users,
             max_connections,
             free_connections: Arc::new(Semaphore::new(max_connections)),
-            free_bodies_kib: Semaphore::new(max_bodies_kib),
+            free_submissions_kib: Semaphore::new(max_submissions_kib),
         }
     }
 
-    /// One permit for each connection that may be served beside those that are.
+    /// Returns the permits for connections, one for each that may be opened in addition to
+    /// the open ones.
     pub fn free_connections(&self) -> Arc<Semaphore> {
         self.free_connections.clone()
     }
 
-    async fn report(&self, request: &mut Request) -> Answer {
+    async fn receive_report(&self, request: &mut Request) -> Answer {
         let body = read_body(request, MAX_REPORT_BYTES).await;
         match body.and_then(|body| serde_json::from_slice(&body).ok()) {
-            Some(report) => self.send(&self.urgent, |reply| Event::Report { report, reply }).await,
+            Some(report) => {
+                self.send_event(&self.urgent, |reply| Event::Report { report, reply })
+                    .await
+            }
             None => text(400, "not a report"),
         }
     }
 
-    async fn submit(&self, request: &mut Request) -> Answer {
+    async fn submit_job(&self, request: &mut Request) -> Answer {
         let Some(body) = read_body(request, MAX_JOB_BYTES).await else {
             return text(400, "the body is too long or broken");
         };
         let kib = body.len().div_ceil(BYTES_PER_KIB).max(1) as u32;
-        let Ok(_in_hand) = self.free_bodies_kib.try_acquire_many(kib) else {
+        let Ok(_permits) = self.free_submissions_kib.try_acquire_many(kib) else {
             return busy("too many requests at once");
         };
         match String::from_utf8(body) {
-            Ok(body) => self.ask(UserRequest::Submit(body)).await,
+            Ok(body) => self.send_user_request(UserRequest::Submit(body)).await,
             Err(_) => text(400, "not UTF-8"),
         }
     }
 
-    async fn ask(&self, user_request: UserRequest) -> Answer {
-        self.send(&self.users, |reply| Event::UserRequest { user_request, reply })
+    async fn send_user_request(&self, user_request: UserRequest) -> Answer {
+        self.send_event(&self.users, |reply| Event::UserRequest { user_request, reply })
             .await
     }
 
     /// Puts an event into a queue and waits for the controller's answer.
-    async fn send(&self, queue: &mpsc::Sender<Event>, event: impl FnOnce(oneshot::Sender<Answer>) -> Event) -> Answer {
+    async fn send_event(
+        &self,
+        queue: &mpsc::Sender<Event>,
+        event: impl FnOnce(oneshot::Sender<Answer>) -> Event,
+    ) -> Answer {
         let (reply, answer) = oneshot::channel();
         if queue.try_send(event(reply)).is_err() {
             return busy("too many requests at once");
@@ -113,7 +123,7 @@
         answer.await.unwrap_or_else(|_| busy("the request was dropped"))
     }
 
-    fn respond(&self, answer: Answer) -> Response {
+    fn build_response(&self, answer: Answer) -> Response {
         let mut response = Response::builder()
             .status(StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR))
             .content_type("application/json");
@@ -127,13 +137,13 @@
     }
 
     fn is_nearly_full(&self) -> bool {
-        let enough = self.max_connections.div_ceil(FREE_CONNECTIONS_DIVISOR);
-        self.free_connections.available_permits() < enough
+        let min_free = self.max_connections.div_ceil(FREE_CONNECTIONS_DIVISOR);
+        self.free_connections.available_permits() < min_free
     }
 }
 
-/// The whole body, unless it is longer than `max_bytes`, broken or too slow. One that
-/// says beforehand that it is too long is not read at all.
+/// Reads the whole body. Returns `None` if it is longer than `max_bytes`, malformed or not
+/// received in time. A body whose `Content-Length` is too large or invalid is not read at all.
 async fn read_body(request: &mut Request, max_bytes: usize) -> Option<Vec<u8>> {
     let length = request.header("Content-Length").map(str::parse::<usize>);
     if length.is_some_and(|length| length.map_or(true, |length| length > max_bytes)) {
--- a/src/runtime/http_endpoint/routes.rs
+++ b/src/runtime/http_endpoint/routes.rs
@@ -1,36 +1,36 @@
-//! Which request goes where.
+//! Routes of the HTTP interface.
 
 use poem::http::Method;
 use thiserror::Error;
 
-/// What a request is for.
+/// The operation that a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route<'path> {
-    /// `GET /healthz`.
+    /// `GET /healthz`: a health check.
     Health,
     /// `POST /checkin`: the report of a worker.
     Report,
-    /// `POST /v1/jobs`.
+    /// `POST /v1/jobs`: submits a job.
     SubmitJob,
-    /// `GET /v1/jobs/{id}`.
+    /// `GET /v1/jobs/{id}`: shows the state of a job.
     ShowJob(&'path str),
-    /// `POST /v1/jobs/{id}/abort`.
+    /// `POST /v1/jobs/{id}/abort`: cancels a job.
     CancelJob(&'path str),
 }
 
-/// Why a request goes nowhere.
+/// Why a request matches no route.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RouteError {
-    /// The path is known, but not with this method.
+    /// The path exists, but not with this method.
     #[error("method not allowed")]
     MethodNotAllowed,
-    /// The path is not known.
+    /// The path does not exist.
     #[error("no such path")]
     UnknownPath,
 }
 
 impl RouteError {
-    /// The status of the response.
+    /// Returns the HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             RouteError::MethodNotAllowed => 405,
@@ -40,8 +40,8 @@
 }
 
 impl Route<'_> {
-    /// Where a request with this method and path goes.
-    pub fn of<'path>(method: &Method, path: &'path str) -> Result<Route<'path>, RouteError> {
+    /// Returns the route of a request with this method and path.
+    pub fn resolve<'path>(method: &Method, path: &'path str) -> Result<Route<'path>, RouteError> {
         let (allowed, route) = match path {
             "/healthz" => (Method::GET, Route::Health),
             "/checkin" => (Method::POST, Route::Report),
@@ -56,7 +56,7 @@
     }
 }
 
-/// The route of `/v1/jobs/{id}` and what may follow it, with its method.
+/// Returns the route of `/v1/jobs/{id}` or of a path below it, with the method that it allows.
 fn job_route(path: &str) -> Option<(Method, Route<'_>)> {
     let rest = path.strip_prefix("/v1/jobs/")?;
     match rest.split_once('/') {
--- a/src/runtime/http_endpoint/routes/tests.rs
+++ b/src/runtime/http_endpoint/routes/tests.rs
@@ -18,6 +18,6 @@
         (Method::GET, "/", Err(RouteError::UnknownPath)),
     ];
     for (method, path, expected) in cases {
-        assert_eq!(Route::of(&method, path), expected, "{method} {path}");
+        assert_eq!(Route::resolve(&method, path), expected, "{method} {path}");
     }
 }
--- a/src/runtime/http_server.rs
+++ b/src/runtime/http_server.rs
@@ -1,10 +1,9 @@
-//! Serves HTTP/1.1 connections with `hyper` and hands their requests to the poem
+//! Serves HTTP/1.1 connections with `hyper` and passes their requests to the poem
 //! endpoint [`HttpEndpoint`].
 //!
-//! poem's own server accepts HTTP/2 as well and starts a second task and a timer
-//! for each connection, which both wake with every read and write. With a
-//! connection for each worker that took more memory than all else, and a good part
-//! of the processor time.
+//! poem's own server also accepts HTTP/2 and starts a second task and a timer for each
+//! connection, both of which wake up at every read and write. With one connection per
+//! worker, that took more memory than everything else and a large part of the CPU time.
 
 mod idle_timer;
 
@@ -27,22 +26,22 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// A connection without a complete request for this long is closed.
+/// A connection that receives no complete request for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
-/// How often it is looked whether the event loop keeps up again.
-const BEHIND_PAUSE: Duration = Duration::from_millis(20);
-/// Longest head of a request; hyper takes no smaller bound.
+/// Interval at which to check whether the event loop has caught up.
+const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum length of a request head; hyper accepts no smaller bound.
 const MAX_HEAD_BYTES: usize = 8_192;
 
-/// The two ends of a connection.
+/// The addresses of both addresses of a connection.
 #[derive(Clone, Copy)]
-struct Ends {
+struct ConnectionAddresses {
     local: SocketAddr,
     remote: SocketAddr,
 }
 
-/// Accepts connections while the event loop keeps up, never more at once than the
-/// endpoint has room for.
+/// Accepts connections while the event loop keeps up, and never has more open at once than
+/// the endpoint allows.
 pub async fn serve(listener: TcpListener, endpoint: HttpEndpoint, monitor: Arc<EventLoopMonitor>) {
     let endpoint = Arc::new(endpoint);
     let local = listener.local_addr().ok();
@@ -50,17 +49,17 @@
         let Ok(permit) = endpoint.free_connections().acquire_owned().await else {
             return;
         };
-        // All that is ready has its turn before one more is accepted.
+        // Lets every task that is ready run before another connection is accepted.
         yield_now().await;
         while monitor.is_behind() {
-            sleep(BEHIND_PAUSE).await;
+            sleep(CATCH_UP_POLL_INTERVAL).await;
         }
         if let Some((stream, remote)) = sockets::accept(&listener).await {
-            sockets::send_without_delay(&stream);
+            sockets::enable_nodelay(&stream);
             let local = local.unwrap_or(remote);
             let endpoint = endpoint.clone();
             tokio::spawn(async move {
-                serve_connection(stream, Ends { local, remote }, &endpoint).await;
+                serve_connection(stream, ConnectionAddresses { local, remote }, &endpoint).await;
                 drop(permit);
             });
         }
@@ -68,22 +67,23 @@
 }
 
 /// Serves a connection until either side closes it or it has been idle for too long.
-async fn serve_connection(stream: TcpStream, ends: Ends, endpoint: &HttpEndpoint) {
+async fn serve_connection(stream: TcpStream, addresses: ConnectionAddresses, endpoint: &HttpEndpoint) {
     let idle_timer = IdleTimer::new(IDLE_TIMEOUT);
     let service = service_fn(|request: hyper::Request<Incoming>| {
         idle_timer.record_request();
-        let local = LocalAddr(ends.local.into());
-        let remote = RemoteAddr(ends.remote.into());
+        let local = LocalAddr(addresses.local.into());
+        let remote = RemoteAddr(addresses.remote.into());
         let request = Request::from((request, local, remote, Scheme::HTTP));
         async move { Ok::<_, Infallible>(hyper::Response::from(endpoint.get_response(request).await)) }
     });
     let mut builder = http1::Builder::new();
-    // Responses are small: one buffer costs less than a list of two.
+    // Responses are small: writing one buffer costs less than a vectored write of two.
     builder.max_buf_size(MAX_HEAD_BYTES).writev(false);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::select! {
         biased;
-        // How it ended is of no use: the client sees it, and comes again if need be.
+        // Errors are ignored: the client notices that the connection ended and reconnects
+        // if necessary.
         _ = connection => {}
         () = idle_timer.expired() => {}
     }
--- a/src/runtime/http_server/idle_timer.rs
+++ b/src/runtime/http_server/idle_timer.rs
@@ -1,22 +1,22 @@
-//! How long a connection has been without a request.
+//! Detects connections without requests.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Expires when no request has come for some time.
+/// A timer that expires when no request has arrived for the timeout.
 ///
-/// A request only stores the time; the timer is set again when it fires. Setting it
-/// with each request would cost more than the request's other bookkeeping.
+/// A request only stores its time; the timer is reset when it fires. Resetting it at each
+/// request would cost more than the rest of the request's bookkeeping.
 pub struct IdleTimer {
     start: Instant,
     timeout: Duration,
-    /// Since `start`.
+    /// Milliseconds from `start` to the last request.
     last_request_ms: AtomicU64,
 }
 
 impl IdleTimer {
-    /// Counts from now.
+    /// Creates a timer whose timeout starts now.
     pub fn new(timeout: Duration) -> IdleTimer {
         IdleTimer {
             start: Instant::now(),
@@ -25,13 +25,13 @@
         }
     }
 
-    /// Counts from now again.
+    /// Restarts the timeout.
     pub fn record_request(&self) {
         let elapsed_ms = self.start.elapsed().as_millis() as u64;
         self.last_request_ms.store(elapsed_ms, Ordering::Relaxed);
     }
 
-    /// Waits until no request has come for the timeout.
+    /// Waits until no request has arrived for the timeout.
     pub async fn expired(&self) {
         let mut expires_at = self.start + self.timeout;
         while Instant::now() < expires_at {
--- a/src/runtime/http_server/tests.rs
+++ b/src/runtime/http_server/tests.rs
@@ -6,21 +6,22 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Whether the event loop of a test's server keeps up.
+/// Whether the event loop of a test server keeps up.
 #[derive(PartialEq)]
-enum Loop {
+enum LoopState {
     KeepsUp,
-    StandsStill,
+    Stalled,
 }
 
-/// A server with so many connections that answers health checks.
-async fn serve_health(max_connections: u32, event_loop: Loop) -> (SocketAddr, Arc<EventLoopMonitor>) {
+/// Starts a server for at most `max_connections` connections. It answers health checks and
+/// never answers requests from users.
+async fn serve_health(max_connections: u32, event_loop: LoopState) -> (SocketAddr, Arc<EventLoopMonitor>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let (urgent, mut events) = mpsc::channel(16);
-    let (users, mut asked) = mpsc::channel(16);
+    let (users, mut user_events) = mpsc::channel(16);
     let monitor = Arc::new(EventLoopMonitor::new());
     let endpoint = HttpEndpoint::new(urgent, users, max_connections, 64);
     tokio::spawn(serve(listener, endpoint, monitor.clone()));
@@ -31,28 +32,28 @@
             }
         }
     });
-    // Users wait for good, so that what they sent stays in hand.
+    // Requests from users are never answered, so that their bodies stay in memory.
     tokio::spawn(async move {
-        let mut waiting = Vec::new();
-        while let Some(event) = asked.recv().await {
-            waiting.push(event);
+        let mut unanswered = Vec::new();
+        while let Some(event) = user_events.recv().await {
+            unanswered.push(event);
         }
     });
-    if event_loop == Loop::KeepsUp {
-        tokio::spawn(keep_up(monitor.clone()));
+    if event_loop == LoopState::KeepsUp {
+        tokio::spawn(tick_on_time(monitor.clone()));
     }
     (address, monitor)
 }
 
-/// Ticks as an event loop does.
-async fn keep_up(monitor: Arc<EventLoopMonitor>) {
+/// Ticks like an event loop that keeps up.
+async fn tick_on_time(monitor: Arc<EventLoopMonitor>) {
     loop {
         monitor.record_tick();
         sleep(TICK_INTERVAL).await;
     }
 }
 
-async fn ask(address: SocketAddr) -> TcpStream {
+async fn send_health_check(address: SocketAddr) -> TcpStream {
     let mut client = TcpStream::connect(address).await.expect("connected");
     let request = b"GET /healthz HTTP/1.1\r\nHost: here\r\n\r\n";
     client.write_all(request).await.expect("sent");
@@ -65,43 +66,44 @@
     matches!(read, Ok(Ok(_))) && &answer == b"HTTP/1.1 200"
 }
 
-/// Guards against connections kept open for the next report while others
-/// wait for one: with one controller left, the workers that came last found
-/// no room until their leases had expired.
+/// Guards against connections that are kept open for the next report while other clients
+/// wait for a connection: with only one controller left, the last workers to connect got
+/// none until their leases had expired.
 #[tokio::test(flavor = "current_thread")]
-async fn more_clients_than_connections_all_get_their_answer() {
-    let (address, _) = serve_health(3, Loop::KeepsUp).await;
-    // None of them closes its connection.
+async fn more_clients_than_connections_are_all_answered() {
+    let (address, _) = serve_health(3, LoopState::KeepsUp).await;
+    // No client closes its connection.
     let mut kept = Vec::new();
     for _ in 0..8 {
-        let mut client = ask(address).await;
-        assert!(is_answered(&mut client, PATIENCE).await);
+        let mut client = send_health_check(address).await;
+        assert!(is_answered(&mut client, ANSWER_TIMEOUT).await);
         kept.push(client);
     }
 }
 
-/// Guards against a leader that loses its lease, or never takes over, because
+/// Guards against a leader that loses its lease, or never completes its takeover, because
 /// thousands of workers connect at once.
 #[tokio::test(flavor = "current_thread")]
 async fn no_connection_is_accepted_while_the_event_loop_is_behind() {
-    let (address, monitor) = serve_health(8, Loop::StandsStill).await;
+    let (address, monitor) = serve_health(8, LoopState::Stalled).await;
     sleep(Duration::from_millis(300)).await;
     assert!(monitor.is_behind());
-    // The accept that was under way when it fell behind, and one that has to wait.
-    let _first = ask(address).await;
-    let mut second = ask(address).await;
+    // The first connection may still be accepted, because an accept was already in progress
+    // when the loop fell behind. The second has to wait.
+    let _first = send_health_check(address).await;
+    let mut second = send_health_check(address).await;
     assert!(!is_answered(&mut second, Duration::from_millis(400)).await);
-    tokio::spawn(keep_up(monitor));
-    assert!(is_answered(&mut second, PATIENCE).await);
+    tokio::spawn(tick_on_time(monitor));
+    assert!(is_answered(&mut second, ANSWER_TIMEOUT).await);
 }
 
-/// Guards against connections that nobody uses any more, which would hold memory and
-/// a socket each for good.
+/// Guards against abandoned connections, each of which would hold memory and a socket
+/// forever.
 #[tokio::test(start_paused = true)]
 async fn a_connection_without_requests_is_closed() {
-    let (address, _) = serve_health(8, Loop::KeepsUp).await;
-    let mut client = ask(address).await;
-    assert!(is_answered(&mut client, PATIENCE).await);
+    let (address, _) = serve_health(8, LoopState::KeepsUp).await;
+    let mut client = send_health_check(address).await;
+    assert!(is_answered(&mut client, ANSWER_TIMEOUT).await);
     let mut rest = Vec::new();
     let closed = timeout(2 * IDLE_TIMEOUT, client.read_to_end(&mut rest)).await;
     assert!(closed.is_ok(), "still open after {:?}", 2 * IDLE_TIMEOUT);
@@ -116,20 +118,20 @@
 
 async fn status(client: &mut TcpStream) -> String {
     let mut answer = [0; 12];
-    let read = timeout(PATIENCE, client.read_exact(&mut answer)).await;
+    let read = timeout(ANSWER_TIMEOUT, client.read_exact(&mut answer)).await;
     read.expect("in time").expect("answered");
     String::from_utf8_lossy(&answer[9..]).into_owned()
 }
 
-/// Guards against memory filled by submissions that wait: beyond their part of it they
-/// are refused at once, and one that is too long is not even read.
+/// Guards against waiting submissions that fill the memory: beyond their share of it they
+/// are refused at once, and a submission that is too long is not even read.
 #[tokio::test(flavor = "current_thread")]
-async fn submissions_beyond_their_memory_are_refused_at_once() {
-    let (address, _) = serve_health(8, Loop::KeepsUp).await;
+async fn submissions_beyond_their_memory_limit_are_refused_at_once() {
+    let (address, _) = serve_health(8, LoopState::KeepsUp).await;
     let mut unread = submit(address, "{", 10_000_000).await;
     assert_eq!(status(&mut unread).await, "400");
     let large = " ".repeat(60 * 1_024);
-    let _in_hand = submit(address, &large, large.len()).await;
+    let _held_in_memory = submit(address, &large, large.len()).await;
     sleep(Duration::from_millis(200)).await;
     let mut refused = submit(address, &large, large.len()).await;
     assert_eq!(status(&mut refused).await, "503");
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! The only part that does I/O: serves users, workers and peers, carries out
-//! what the controller wants, and feeds it what came of it.
+//! All I/O of a controller process: serves users, workers and peers, carries out the
+//! outputs of the controller and feeds the results back to it.
 
 mod clock;
 mod event;
--- a/src/runtime/peer_links/frame.rs
+++ b/src/runtime/peer_links/frame.rs
@@ -1,5 +1,5 @@
-//! Frames: the length of a message in four bytes, the highest first, and the message
-//! in MessagePack.
+//! Frames: the length of a message as a big-endian number of four bytes, followed by the
+//! message in MessagePack.
 
 use super::LinkError;
 use crate::peers::Message;
@@ -8,7 +8,7 @@
 const LENGTH_BYTES: usize = 4;
 const MAX_MESSAGE_BYTES: u32 = 2 << 20;
 
-/// Appends the frame of a message.
+/// Appends the frame of a message to `bytes`.
 pub(super) fn append(bytes: &mut Vec<u8>, message: &Message) -> Result<(), LinkError> {
     let start = bytes.len();
     bytes.extend([0; LENGTH_BYTES]);
@@ -18,7 +18,7 @@
     Ok(())
 }
 
-/// Reads the length of the next message.
+/// Reads the length of the next message, in bytes. Fails if it is too long.
 pub(super) async fn read_length(frames: &mut (impl AsyncRead + Unpin)) -> Result<u32, LinkError> {
     let length_bytes = frames.read_u32().await?;
     if length_bytes > MAX_MESSAGE_BYTES {
@@ -27,7 +27,7 @@
     Ok(length_bytes)
 }
 
-/// Reads a message of this length.
+/// Reads a message of the given length.
 pub(super) async fn read_message(
     frames: &mut (impl AsyncRead + Unpin),
     length_bytes: u32,
--- a/src/runtime/peer_links/mod.rs
+++ b/src/runtime/peer_links/mod.rs
@@ -1,13 +1,13 @@
-//! Links between controllers: each dials every other and sends on the
-//! connection it dialled. A frame is a length and a MessagePack message.
+//! Links between controllers. Each controller dials every other one and sends its messages
+//! on the connection that it dialled. A frame is a length and a MessagePack message.
 //!
-//! Heartbeats are acknowledged with one byte, the first and then one every two
-//! seconds. Without that the sender cannot tell a live link from a half-open one:
-//! small frames fit the socket's buffer for minutes after the receiver has closed
-//! its end.
+//! The receiver acknowledges heartbeats with one byte: the first one, and then at most one
+//! every two seconds. Without acknowledgements, the sender cannot distinguish a live link
+//! from a half-open one: small frames fit into the socket's buffer for minutes after the
+//! receiver has closed its end.
 //!
-//! Messages that wait together are written together: a packet costs more than what
-//! most of them hold.
+//! Messages that wait at the same time are written together, because a packet costs more
+//! than the content of most messages.
 
 mod frame;
 mod receiver;
@@ -21,7 +21,7 @@
 use thiserror::Error;
 use tokio::time::error::Elapsed;
 
-/// A link on which nothing comes for this long is dead: no acknowledgement at the
+/// A link is considered dead when nothing arrives for this long: no acknowledgement at the
 /// sender, no frame at the receiver.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(8);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -31,8 +31,8 @@
 enum LinkError {
     #[error("the peer closed the link")]
     Closed,
-    #[error("the peer sent or took nothing in time")]
-    Silent(#[from] Elapsed),
+    #[error("timed out while reading from or writing to the peer")]
+    TimedOut(#[from] Elapsed),
     #[error(transparent)]
     Socket(#[from] io::Error),
     #[error("a frame of {length_bytes} bytes is too long")]
--- a/src/runtime/peer_links/receiver.rs
+++ b/src/runtime/peer_links/receiver.rs
@@ -13,13 +13,14 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::{Instant, timeout};
 
+/// Minimum interval between two acknowledgements.
 const ACKNOWLEDGE_INTERVAL: Duration = Duration::from_secs(2);
 const ACKNOWLEDGEMENT: u8 = 1;
-/// Enough for every peer to redial several times while this process stands
-/// still and can't see that the earlier connections were given up.
+/// Maximum number of incoming links. It allows every peer to redial several times while this
+/// process is suspended and cannot notice that the earlier connections were closed.
 const MAX_LINKS: usize = 128;
 
-/// Accepts links from peers.
+/// Accepts links from peers and receives their messages.
 pub async fn accept(listener: TcpListener, events: mpsc::Sender<Event>) {
     let free_links = Arc::new(Semaphore::new(MAX_LINKS));
     loop {
@@ -38,13 +39,13 @@
     }
 }
 
-/// Hands messages to the event loop until the link fails. Ends without an error once
-/// nobody takes them.
+/// Passes messages to the event loop until the link fails. Returns without an error once the
+/// event loop has stopped receiving.
 pub(super) async fn receive_all(mut stream: TcpStream, events: mpsc::Sender<Event>) -> Result<(), LinkError> {
     let (frames, acknowledgements) = stream.split();
     let mut frames = BufReader::new(frames);
     let mut acknowledger = Acknowledger::new(acknowledgements);
-    // The first heartbeat says who it is.
+    // The name of the peer. Its first heartbeat gives the name; earlier messages are dropped.
     let mut peer: Option<String> = None;
     loop {
         let length_bytes = timeout(SILENCE_TIMEOUT, frame::read_length(&mut frames)).await??;
@@ -65,25 +66,25 @@
     }
 }
 
-/// Acknowledges heartbeats, no more often than the sender needs it.
+/// Acknowledges heartbeats, no more often than the sender needs.
 struct Acknowledger<'stream> {
     acknowledgements: WriteHalf<'stream>,
-    next_at: Instant,
+    next_due_at: Instant,
 }
 
 impl Acknowledger<'_> {
     fn new(acknowledgements: WriteHalf<'_>) -> Acknowledger<'_> {
         Acknowledger {
             acknowledgements,
-            next_at: Instant::now(),
+            next_due_at: Instant::now(),
         }
     }
 
     /// Sends an acknowledgement if one is due.
     async fn acknowledge(&mut self) -> Result<(), LinkError> {
         let now = Instant::now();
-        if now >= self.next_at {
-            self.next_at = now + ACKNOWLEDGE_INTERVAL;
+        if now >= self.next_due_at {
+            self.next_due_at = now + ACKNOWLEDGE_INTERVAL;
             timeout(WRITE_TIMEOUT, self.acknowledgements.write_all(&[ACKNOWLEDGEMENT])).await??;
         }
         Ok(())
--- a/src/runtime/peer_links/sender.rs
+++ b/src/runtime/peer_links/sender.rs
@@ -13,14 +13,15 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before dialling again; random, so that the controllers don't dial in step.
-const REDIAL_PAUSE_MS: Range<u64> = 100..400;
-/// No more is put together into one write.
+/// Range of the random delay before redialling, in milliseconds. It is random so that the
+/// controllers do not redial in lockstep.
+const REDIAL_DELAY_MS: Range<u64> = 100..400;
+/// Once a write has reached this length, no more messages are added to it.
 const MAX_WRITE_BYTES: usize = 64 * 1024;
-/// Acknowledgements read at once; they carry nothing but their arrival.
-const ACKNOWLEDGEMENTS_BUFFER: usize = 64;
+/// Number of acknowledgements read at once. Their bytes carry no information.
+const ACKNOWLEDGEMENT_BUFFER_BYTES: usize = 64;
 
-/// Keeps a link to a peer and sends it what comes.
+/// Keeps a link to a peer open, redialling as necessary, and sends `messages` on it.
 pub async fn dial(address: SocketAddr, mut messages: mpsc::Receiver<Message>) {
     loop {
         if let Ok(stream) = sockets::connect(address, CONNECT_TIMEOUT).await {
@@ -29,26 +30,26 @@
                 Err(error) => tracing::debug!(%address, %error, "lost the link to a peer"),
             }
         }
-        let pause_ms = rand::rng().random_range(REDIAL_PAUSE_MS);
-        sleep(Duration::from_millis(pause_ms)).await;
-        // What waited for a dead link is out of date.
+        let delay_ms = rand::rng().random_range(REDIAL_DELAY_MS);
+        sleep(Duration::from_millis(delay_ms)).await;
+        // The messages that were queued while the link was dead are out of date.
         while messages.try_recv().is_ok() {}
     }
 }
 
-/// Sends messages until the link fails: the peer closes it, stops taking frames
-/// or stops acknowledging them. Ends without an error once no message can come.
+/// Sends messages until the link fails: the peer closes it, stops reading frames or stops
+/// acknowledging heartbeats. Returns without an error once the message queue is closed.
 async fn send_all(mut stream: TcpStream, messages: &mut mpsc::Receiver<Message>) -> Result<(), LinkError> {
     let (mut acknowledgements, mut frames) = stream.split();
     let mut dead_at = Instant::now() + SILENCE_TIMEOUT;
-    let mut received = [0; ACKNOWLEDGEMENTS_BUFFER];
+    let mut received = [0; ACKNOWLEDGEMENT_BUFFER_BYTES];
     loop {
         tokio::select! {
             message = messages.recv() => {
                 let Some(message) = message else {
                     return Ok(());
                 };
-                let bytes = waiting_frames(&message, messages)?;
+                let bytes = encode_queued(&message, messages)?;
                 timeout(WRITE_TIMEOUT, frames.write_all(&bytes)).await??;
             }
             read = timeout_at(dead_at, acknowledgements.read(&mut received)) => {
@@ -61,9 +62,9 @@
     }
 }
 
-/// The frames of a message and of those that wait behind it, as far as they fit into
-/// one write.
-fn waiting_frames(first: &Message, messages: &mut mpsc::Receiver<Message>) -> Result<Vec<u8>, LinkError> {
+/// Encodes a message and the ones queued behind it, until the write has reached its maximum
+/// length.
+fn encode_queued(first: &Message, messages: &mut mpsc::Receiver<Message>) -> Result<Vec<u8>, LinkError> {
     let mut bytes = Vec::new();
     frame::append(&mut bytes, first)?;
     while bytes.len() < MAX_WRITE_BYTES
--- a/src/runtime/peer_links/tests.rs
+++ b/src/runtime/peer_links/tests.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-const WAIT: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn heartbeat(node: &str) -> Message {
     Message::Heartbeat {
@@ -25,7 +25,7 @@
     (listener, address)
 }
 
-/// Sends heartbeats as a controller does, for as long as the test goes on.
+/// Dials an address and sends heartbeats like a controller, until the test ends.
 fn dial_with_heartbeats(address: SocketAddr) {
     let (messages, receiver) = mpsc::channel(256);
     tokio::spawn(dial(address, receiver));
@@ -37,20 +37,21 @@
     });
 }
 
-/// Guards against a half-open link: a controller that stood still for 55 s went on
-/// sending into connections that its peers had given up, without an error, and
-/// later led without being heard (ovpu-farm-auction-ops, operations).
+/// Guards against a half-open link: a controller that was suspended for 55 s went on sending
+/// on connections that its peers had closed, without an error, and later led although its
+/// peers did not receive its messages.
 #[tokio::test(start_paused = true)]
 async fn a_link_without_acknowledgements_is_dialled_again() {
     let (listener, address) = listen().await;
     dial_with_heartbeats(address);
     let (silent, _) = listener.accept().await.expect("the first link");
-    let again = timeout(WAIT, listener.accept()).await;
+    let again = timeout(TEST_TIMEOUT, listener.accept()).await;
     assert!(again.expect("dialled again").is_ok());
     drop(silent);
 }
 
-/// The acceptor acknowledges heartbeats, so that a live link lasts.
+/// Guards against a live link being redialled: the receiver acknowledges heartbeats, and the
+/// sender keeps the link.
 #[tokio::test(start_paused = true)]
 async fn an_acknowledged_link_lasts_and_delivers() {
     let (listener, address) = listen().await;
@@ -59,17 +60,17 @@
     let (stream, _) = listener.accept().await.expect("the first link");
     tokio::spawn(receive_all(stream, events));
     for _ in 0..100 {
-        let event = timeout(WAIT, received.recv()).await.expect("in time");
+        let event = timeout(TEST_TIMEOUT, received.recv()).await.expect("in time");
         assert!(matches!(event, Some(Event::Input(Input::Peer { node, .. })) if node == "stall-1"));
     }
     assert!(
         timeout(Duration::from_millis(100), listener.accept()).await.is_err(),
-        "one link is enough"
+        "the sender dialled a second link"
     );
 }
 
-/// Controllers of two versions talk to each other while they are replaced: the bytes of
-/// a frame stay as they are.
+/// Guards against a change of the frame format: controllers of two versions exchange frames
+/// during a rolling upgrade.
 #[test]
 fn a_frame_is_a_length_and_a_messagepack_message() {
     let mut bytes = Vec::new();
--- a/src/runtime/serve.rs
+++ b/src/runtime/serve.rs
@@ -17,35 +17,35 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinError;
 
-/// Requests of users that may wait for the controller.
-const USER_QUEUE: usize = 512;
-/// Messages waiting for one peer; more means that its link is dead.
-const PEER_QUEUE: usize = 256;
+/// Maximum number of user requests waiting for the controller.
+const USER_QUEUE_CAPACITY: usize = 512;
+/// Maximum number of messages waiting for one peer. A full queue means that its link is dead.
+const PEER_QUEUE_CAPACITY: usize = 256;
 
-/// Why a controller could not start, or stopped.
+/// Why a controller could not start or did not keep running.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// An address of this controller can't be listened on.
+    /// The controller cannot listen on one of its addresses.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address, as set in the settings file.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The event loop stopped because of a fault in this program.
+    /// The event loop stopped because of a bug in this program.
     #[error("the event loop stopped: {0}")]
     EventLoop(#[from] JoinError),
 }
 
-/// The ends into which events are put.
+/// The sending ends of the [`EventQueues`].
 struct EventSenders {
     store: mpsc::Sender<Event>,
     urgent: mpsc::Sender<Event>,
     users: mpsc::Sender<Event>,
 }
 
-/// Serves until the process is killed.
+/// Runs a controller until the process is killed.
 pub async fn serve(settings: Settings, policy: Policy) -> Result<(), ServeError> {
     let monitor = Arc::new(EventLoopMonitor::new());
     let (senders, queues) = event_queues(&settings);
@@ -56,8 +56,8 @@
     let calls = ServiceCalls::new(&settings, senders.urgent, senders.store);
     let controller = Controller::new(settings, policy, rand::random());
     let event_loop = EventLoop::new(monitor, controller, calls, peers);
-    // In a task of its own: waking the future that `block_on` runs costs a system
-    // call each time, waking a task does not.
+    // Runs in its own task: each wake-up of the future that `block_on` runs costs a
+    // system call, a wake-up of a task does not.
     tokio::spawn(event_loop.run(queues)).await?;
     Ok(())
 }
@@ -65,7 +65,7 @@
 fn event_queues(settings: &Settings) -> (EventSenders, EventQueues) {
     let (store, store_events) = mpsc::channel(settings.event_queue_capacity());
     let (urgent, urgent_events) = mpsc::channel(settings.event_queue_capacity());
-    let (users, user_events) = mpsc::channel(USER_QUEUE);
+    let (users, user_events) = mpsc::channel(USER_QUEUE_CAPACITY);
     let senders = EventSenders { store, urgent, users };
     let queues = EventQueues {
         store: store_events,
@@ -75,7 +75,7 @@
     (senders, queues)
 }
 
-/// Serves users, workers and health checks from now on.
+/// Starts serving users, workers and health checks.
 fn serve_http(settings: &Settings, senders: &EventSenders, monitor: Arc<EventLoopMonitor>) -> Result<(), ServeError> {
     let connections = settings.connections();
     let address = settings.listen;
@@ -91,7 +91,7 @@
     Ok(())
 }
 
-/// Accepts the links of the other controllers from now on.
+/// Starts accepting links from the other controllers.
 async fn accept_peers(settings: &Settings, events: mpsc::Sender<Event>) -> Result<(), ServeError> {
     let address = settings.peer_listen;
     let listener = TcpListener::bind(address)
@@ -101,11 +101,11 @@
     Ok(())
 }
 
-/// Keeps a link to each of the other controllers from now on.
+/// Starts a link to each of the other controllers and returns the queues of their messages.
 fn dial_peers(settings: &Settings) -> PeerQueues {
     let mut queues = PeerQueues::new();
     for peer in &settings.peers {
-        let (sender, receiver) = mpsc::channel(PEER_QUEUE);
+        let (sender, receiver) = mpsc::channel(PEER_QUEUE_CAPACITY);
         tokio::spawn(peer_links::dial(peer.address, receiver));
         queues.insert(peer.node.clone(), sender);
     }
--- a/src/runtime/service_calls/cloud.rs
+++ b/src/runtime/service_calls/cloud.rs
@@ -1,4 +1,4 @@
-//! Requests to the cloud, and what its responses mean.
+//! Encodes requests to the cloud and interprets its responses.
 
 use super::{CallResult, json};
 use crate::controller::{CloudReply, CloudRequest};
@@ -8,12 +8,12 @@
 use std::time::Duration;
 
 const TIMEOUT: Duration = Duration::from_secs(6);
-/// Most machines in one page of a list.
+/// Maximum number of machines in one page of the machine list.
 const PAGE_LIMIT: u32 = 500;
-/// What the cloud says when it has no machine of the kind asked for.
+/// Error text of a response that says that the cloud has no machine of the requested kind.
 const NO_CAPACITY: &str = "no capacity";
 
-/// The HTTP request that carries a request.
+/// Encodes a request as an HTTP request.
 pub fn http_request(request: &CloudRequest) -> HttpRequest {
     let (method, path, body) = match request {
         CloudRequest::Catalogue => (Method::GET, "/catalog".into(), Bytes::new()),
@@ -34,17 +34,17 @@
     }
 }
 
-/// What came of a request.
+/// Interprets the outcome of a request.
 pub fn reply(request: &CloudRequest, result: CallResult) -> CloudReply {
     match result {
-        // Whatever else it says, it may have done it.
+        // After any other response, the request may or may not have been executed.
         Ok(response) => expected_reply(request, &response).unwrap_or(CloudReply::Unanswered),
         Err(RequestError::NotSent) => CloudReply::Unavailable,
         Err(RequestError::OutcomeUnknown) => CloudReply::Unanswered,
     }
 }
 
-/// The reply that the response gives to this kind of request, if it gives one.
+/// Returns the reply for a response that this kind of request may have, `None` for any other.
 fn expected_reply(request: &CloudRequest, response: &HttpResponse) -> Option<CloudReply> {
     let body = &response.body;
     match (request, response.status) {
@@ -59,7 +59,8 @@
     }
 }
 
-/// The cloud says 503 both when it has no such machine and during an outage.
+/// Whether a response with status 503 means that the cloud has no such machine. It has the
+/// same status during an outage.
 fn has_no_capacity(body: &Bytes) -> bool {
     let value: Option<serde_json::Value> = serde_json::from_slice(body).ok();
     value.is_some_and(|value| value.get("error").and_then(|error| error.as_str()) == Some(NO_CAPACITY))
--- a/src/runtime/service_calls/mod.rs
+++ b/src/runtime/service_calls/mod.rs
@@ -1,6 +1,6 @@
 //! The controller's calls to the state service, the cloud and workers.
 //!
-//! Each call is a task of its own, which hands the reply to the event loop.
+//! Each call runs in its own task, which passes the reply to the event loop.
 
 mod cloud;
 mod json;
@@ -16,34 +16,35 @@
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
 
-/// What came of a call.
+/// The outcome of a call: its response, or why there is none.
 type CallResult = Result<HttpResponse, RequestError>;
 
-/// Starts calls and hands their replies to the event loop.
+/// Starts calls and passes their replies to the event loop.
 pub struct ServiceCalls {
     client: HttpClient,
-    state: SocketAddr,
-    cloud: SocketAddr,
+    state_address: SocketAddr,
+    cloud_address: SocketAddr,
+    /// Queue for the replies of the cloud and of workers.
     events: mpsc::Sender<Event>,
-    /// For the state service's replies, on which the lease depends.
+    /// Queue for the replies of the state service, on which the leader's lease depends.
     store_events: mpsc::Sender<Event>,
 }
 
 impl ServiceCalls {
-    /// Calls the services that the settings name.
+    /// Prepares calls to the services at the addresses in the settings.
     pub fn new(settings: &Settings, events: mpsc::Sender<Event>, store_events: mpsc::Sender<Event>) -> ServiceCalls {
         ServiceCalls {
             client: HttpClient::new(settings.connections().kept_idle),
-            state: settings.services.state,
-            cloud: settings.services.cloud,
+            state_address: settings.services.state,
+            cloud_address: settings.services.cloud,
             events,
             store_events,
         }
     }
 
     /// Sends a request to the state service.
-    pub fn store(&self, call: u64, request: StoreRequest) {
-        let (client, address) = (self.client.clone(), self.state);
+    pub fn call_store(&self, call: u64, request: StoreRequest) {
+        let (client, address) = (self.client.clone(), self.state_address);
         spawn_call(&self.store_events, async move {
             let result = client.send(address, store::http_request(&request)).await;
             let reply = store::reply(&request, result);
@@ -52,8 +53,8 @@
     }
 
     /// Sends a request to the cloud.
-    pub fn cloud(&self, call: u64, request: CloudRequest) {
-        let (client, address) = (self.client.clone(), self.cloud);
+    pub fn call_cloud(&self, call: u64, request: CloudRequest) {
+        let (client, address) = (self.client.clone(), self.cloud_address);
         spawn_call(&self.events, async move {
             let result = client.send(address, cloud::http_request(&request)).await;
             let reply = cloud::reply(&request, result);
@@ -61,8 +62,8 @@
         });
     }
 
-    /// Delivers commands to a worker at the address that it reported.
-    pub fn worker(&self, call: u64, address: String, commands: DirectCommands) {
+    /// Sends commands to a worker, at the address that it reported.
+    pub fn call_worker(&self, call: u64, address: String, commands: DirectCommands) {
         let client = self.client.clone();
         spawn_call(&self.events, async move {
             let result = match address.parse() {
@@ -75,11 +76,12 @@
     }
 }
 
+/// Runs a call in its own task and puts the resulting input into a queue.
 fn spawn_call(events: &mpsc::Sender<Event>, call: impl Future<Output = Input> + Send + 'static) {
     let events = events.clone();
     tokio::spawn(async move {
         let input = call.await;
-        // The loop ends only with the process.
+        // Fails only if the event loop has ended, which it does only with the process.
         let _ = events.send(Event::Input(input)).await;
     });
 }
--- a/src/runtime/service_calls/store.rs
+++ b/src/runtime/service_calls/store.rs
@@ -1,4 +1,4 @@
-//! Requests to the state service, and what its responses mean.
+//! Encodes requests to the state service and interprets its responses.
 
 use super::{CallResult, json};
 use crate::runtime::http_client::{HttpRequest, HttpResponse, RequestError};
@@ -8,12 +8,13 @@
 use hyper::Method;
 use std::time::Duration;
 
-/// How long to wait beyond the time for which the service holds a request back.
+/// How long to wait for a response, in addition to the time for which the service may hold
+/// back the response to a watch.
 const TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Most entries in one page of a list.
+/// Maximum number of entries in one page of a list.
 const PAGE_LIMIT: u32 = 400;
 
-/// The HTTP request that carries a request.
+/// Encodes a request as an HTTP request.
 pub fn http_request(request: &StoreRequest) -> HttpRequest {
     let (method, path, body) = match request {
         StoreRequest::Get(key) => (Method::GET, format!("/store/{key}"), Bytes::new()),
@@ -53,7 +54,7 @@
     }
 }
 
-/// What came of a request.
+/// Interprets the outcome of a request.
 pub fn reply(request: &StoreRequest, result: CallResult) -> StoreReply {
     let response = match result {
         Ok(response) => response,
@@ -65,7 +66,7 @@
         503 => Some(StoreReply::Unavailable),
         _ => expected_reply(request, &response),
     };
-    // Whatever else it says, it may have done it.
+    // After any other response, the request may or may not have been executed.
     reply.unwrap_or_else(|| {
         tracing::warn!(
             status = response.status,
@@ -76,7 +77,7 @@
     })
 }
 
-/// The reply that the response gives to this kind of request, if it gives one.
+/// Returns the reply for a response that this kind of request may have, `None` for any other.
 fn expected_reply(request: &StoreRequest, response: &HttpResponse) -> Option<StoreReply> {
     let body = &response.body;
     match (request, response.status) {
--- a/src/runtime/service_calls/tests.rs
+++ b/src/runtime/service_calls/tests.rs
@@ -9,10 +9,10 @@
     })
 }
 
-/// Guards against a request that may have been executed being taken for one that was
-/// not: the controller sends only the latter again.
+/// Guards against mistaking a request that may have been executed for one that was not: the
+/// controller repeats only the latter.
 #[test]
-fn what_may_have_been_executed_is_told_from_what_was_not() {
+fn store_replies_distinguish_unknown_outcomes_from_requests_not_executed() {
     let renewal = StoreRequest::Renew(7);
     let cases = [
         (response(200, ""), StoreReply::Renewed),
@@ -24,15 +24,15 @@
         (Err(RequestError::OutcomeUnknown), StoreReply::Unanswered),
     ];
     for (result, expected) in cases {
-        let told = format!("{result:?}");
-        assert_eq!(store::reply(&renewal, result), expected, "{told}");
+        let result_text = format!("{result:?}");
+        assert_eq!(store::reply(&renewal, result), expected, "{result_text}");
     }
     let unreadable = store::reply(&StoreRequest::Get("key".into()), response(200, "{"));
     assert_eq!(unreadable, StoreReply::Unanswered);
 }
 
 #[test]
-fn replies_of_the_cloud_and_of_workers_are_told_apart_in_the_same_way() {
+fn cloud_and_worker_replies_distinguish_unknown_outcomes_from_requests_not_executed() {
     let list = CloudRequest::List { after: String::new() };
     let cases = [
         (response(429, ""), CloudReply::Unavailable),
@@ -42,8 +42,8 @@
         (Err(RequestError::OutcomeUnknown), CloudReply::Unanswered),
     ];
     for (result, expected) in cases {
-        let told = format!("{result:?}");
-        assert_eq!(cloud::reply(&list, result), expected, "{told}");
+        let result_text = format!("{result:?}");
+        assert_eq!(cloud::reply(&list, result), expected, "{result_text}");
     }
     assert!(matches!(worker::reply(response(400, "")), WorkerReply::NotDelivered));
     assert!(matches!(worker::reply(response(409, "?")), WorkerReply::NotDelivered));
@@ -51,8 +51,8 @@
     assert!(matches!(worker::reply(response(500, "")), WorkerReply::Unanswered));
 }
 
-/// A page begins after the last key of the one before, and a watch is waited for as
-/// long as the service may hold it back, and then as long as for any other request.
+/// A page starts after the last key of the previous page. The timeout of a watch is the time
+/// for which the service may hold it back, plus the timeout of any other request.
 #[test]
 fn requests_to_the_state_service_carry_their_parameters() {
     let first = StoreRequest::List {
--- a/src/runtime/service_calls/worker.rs
+++ b/src/runtime/service_calls/worker.rs
@@ -1,4 +1,4 @@
-//! Commands to workers, and what their responses mean.
+//! Encodes commands to workers and interprets their responses.
 
 use super::{CallResult, json};
 use crate::controller::WorkerReply;
@@ -9,7 +9,7 @@
 
 const TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// The HTTP request that carries commands.
+/// Encodes commands as an HTTP request.
 pub fn http_request(commands: &DirectCommands) -> HttpRequest {
     HttpRequest {
         method: Method::POST,
@@ -19,7 +19,7 @@
     }
 }
 
-/// What came of the commands.
+/// Interprets the outcome of sending commands.
 pub fn reply(result: CallResult) -> WorkerReply {
     let response = match result {
         Ok(response) => response,
@@ -28,7 +28,8 @@
     };
     match response.status {
         200 => json::decode(&response.body).map_or(WorkerReply::Unanswered, WorkerReply::Executed),
-        // A worker that refuses them has carried out none, whatever else it says.
+        // A worker that refuses commands has executed none of them, even if its answer
+        // cannot be decoded.
         409 => json::decode(&response.body).map_or(WorkerReply::NotDelivered, WorkerReply::Refused),
         400 => WorkerReply::NotDelivered,
         _ => WorkerReply::Unanswered,
