--- a/src/settings/connection_limits.rs
+++ b/src/settings/connection_limits.rs
@@ -1,54 +1,54 @@
-//! How many connections, submissions and events the limits on this process allow.
+//! The numbers of connections, submissions and events that fit into the limits on this
+//! process.
 
 use super::Settings;
 
-/// Memory that one connection takes at most while it is idle: the buffers of the
-/// HTTP library, its task and socket. Measured on this program with a thousand
-/// idle connections (docs/operations.md).
+/// Maximum memory of an idle connection: the buffers of the HTTP library, the task and the
+/// socket. Measured with a thousand idle connections (docs/operations.md).
 pub(super) const CONNECTION_BYTES: f64 = 20.0 * 1024.0;
-/// Part of the memory that connections may take.
-pub(super) const CONNECTIONS_MEMORY_PART: f64 = 0.45;
-/// Part of the sockets for connections that wait to be accepted. Without any left the
-/// state service could not be reached either.
-const BACKLOG_PART: f64 = 0.1;
-/// Part of all connections that are kept idle to workers.
-const KEPT_IDLE_PART: f64 = 0.24;
-/// Part of all connections that are to workers, with a command in flight.
-const IN_FLIGHT_PART: f64 = 0.12;
-/// Connections to the state service, the cloud and the other controllers.
+/// Fraction of the memory that connections may take.
+pub(super) const CONNECTIONS_MEMORY_FRACTION: f64 = 0.45;
+/// Fraction of the sockets that is reserved for connections waiting to be accepted. If they
+/// took all sockets, the state service could not be reached either.
+const BACKLOG_FRACTION: f64 = 0.1;
+/// Fraction of all connections that are idle connections to workers.
+const KEPT_IDLE_FRACTION: f64 = 0.24;
+/// Fraction of all connections that are connections to workers with a command in flight.
+const IN_FLIGHT_FRACTION: f64 = 0.12;
+/// Number of connections to the state service, the cloud and the other controllers.
 const FIXED_CONNECTIONS: u32 = 40;
-/// Where there are few connections, no more than one in this many is a fixed one.
+/// At most one in this many connections is a fixed one, which matters where there are few.
 const FIXED_CONNECTIONS_DIVISOR: u32 = 4;
-/// Part of the memory for submissions in hand, each of which is held up to three times:
-/// as it came, as it was read, and as it is written or forwarded.
-const BODIES_MEMORY_PART: f64 = 0.02;
-/// Events waiting beside one report for each connection.
+/// Fraction of the memory for unfinished submissions. Each is held up to three times: as it
+/// was received, as it was decoded, and as it is written or forwarded.
+const SUBMISSIONS_MEMORY_FRACTION: f64 = 0.02;
+/// Capacity of an event queue in addition to one report for each connection.
 const SPARE_EVENTS: usize = 1_024;
 const BYTES_PER_MB: f64 = 1e6;
 const BYTES_PER_KIB: f64 = 1024.0;
 
-/// How many connections may be open for each purpose.
+/// The maximum number of open connections for each purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// From workers, users and health checks.
+    /// Connections from workers, users and health checks.
     pub served: u32,
-    /// To workers, kept open between commands.
+    /// Connections to workers that are kept open between commands.
     pub kept_idle: usize,
-    /// To workers, with a command in flight.
+    /// Connections to workers with a command in flight.
     pub in_flight: usize,
-    /// Waiting to be accepted.
+    /// Connections that wait to be accepted.
     pub backlog: u32,
 }
 
 impl Settings {
-    /// How many connections the limits on sockets and memory allow.
+    /// Returns how many connections the limits on sockets and memory allow.
     pub fn connections(&self) -> ConnectionLimits {
         let max_sockets = f64::from(self.params.limits.max_connections);
-        let by_memory = self.memory_bytes() * CONNECTIONS_MEMORY_PART / CONNECTION_BYTES;
-        let backlog = max_sockets * BACKLOG_PART;
+        let by_memory = self.memory_bytes() * CONNECTIONS_MEMORY_FRACTION / CONNECTION_BYTES;
+        let backlog = max_sockets * BACKLOG_FRACTION;
         let all = (max_sockets - backlog).min(by_memory);
-        let kept_idle = at_least_one(all * KEPT_IDLE_PART);
-        let in_flight = at_least_one(all * IN_FLIGHT_PART);
+        let kept_idle = at_least_one(all * KEPT_IDLE_FRACTION);
+        let in_flight = at_least_one(all * IN_FLIGHT_FRACTION);
         let fixed = FIXED_CONNECTIONS.min(all as u32 / FIXED_CONNECTIONS_DIVISOR);
         let outgoing = (kept_idle + in_flight) as u32 + fixed;
         ConnectionLimits {
@@ -59,13 +59,13 @@
         }
     }
 
-    /// KiB of submissions that may be in hand at once.
+    /// Returns how many KiB of submissions may be held in memory at once.
     pub fn max_submissions_kib(&self) -> usize {
-        (self.memory_bytes() * BODIES_MEMORY_PART / BYTES_PER_KIB) as usize
+        (self.memory_bytes() * SUBMISSIONS_MEMORY_FRACTION / BYTES_PER_KIB) as usize
     }
 
-    /// Events that may wait for the controller: each connection has one report in
-    /// flight, and all workers report at once after an outage.
+    /// Returns how many events may wait for the controller in one queue. Each connection has
+    /// at most one report in flight, and all workers report at once after an outage.
     pub fn event_queue_capacity(&self) -> usize {
         self.params.limits.max_connections as usize + SPARE_EVENTS
     }
--- a/src/settings/lease_timing.rs
+++ b/src/settings/lease_timing.rs
@@ -1,38 +1,40 @@
-//! Times that follow from the workers' leases.
+//! Durations derived from the workers' leases.
 
 use super::Settings;
 use crate::{Millis, millis};
 
-/// Most that a lease lasts longer on the worker's clock than on the controller's, as
-/// a factor.
-pub(super) const CLOCK_DRIFT: f64 = 1.002;
-/// Time for a worker to notice that its lease has expired and to drop its tasks.
+/// Maximum factor by which a lease that is timed on the worker's clock may outlast the same
+/// duration on the controller's clock.
+pub(super) const MAX_CLOCK_DRIFT_RATIO: f64 = 1.002;
+/// Time that a worker needs to notice that its lease has expired and to drop its tasks.
 pub(super) const EXPIRY_MARGIN_S: f64 = 1.0;
-/// Watched keys are read once a second; two reads in a row may fail.
-const MIN_WATCH_CACHE_AGE_MS: Millis = 2_500;
-/// An older watch cache gains nothing, also where there is time for it.
-pub(super) const MAX_WATCH_CACHE_AGE_MS: Millis = 5_000;
+/// Minimum of the bound on the age of the watch cache. Watched keys are read once a second,
+/// so that two consecutive reads may fail.
+const MIN_WATCH_CACHE_AGE_LIMIT_MS: Millis = 2_500;
+/// Maximum of the bound on the age of the watch cache. A higher bound has no advantage, even
+/// where the leases leave time for it.
+pub(super) const MAX_WATCH_CACHE_AGE_LIMIT_MS: Millis = 5_000;
 
 impl Settings {
-    /// After this much time without an answer a worker has surely dropped its tasks.
+    /// Returns the time without an answer after which a worker has certainly dropped its tasks.
     pub fn lease_expiry_ms(&self) -> Millis {
-        millis(self.params.workers.lease_s * CLOCK_DRIFT) + millis(EXPIRY_MARGIN_S)
+        millis(self.params.workers.lease_s * MAX_CLOCK_DRIFT_RATIO) + millis(EXPIRY_MARGIN_S)
     }
 
-    /// How old the leader's knowledge of cancellations may be while it answers
-    /// workers: from the confirmation of a cancellation until the lease that the
-    /// last answer renewed has surely expired, no more than `cancel_s` may pass.
+    /// Returns how old the leader's knowledge of cancellations may be while it answers
+    /// workers. No more than `cancel_s` may pass between the confirmation of a cancellation
+    /// and the time when the lease that the last answer renewed has certainly expired.
     pub fn max_watch_cache_age_ms(&self) -> Millis {
         let workers = &self.params.workers;
-        let rest_s = workers.cancel_s - workers.lease_s * CLOCK_DRIFT - EXPIRY_MARGIN_S;
-        millis(rest_s).clamp(MIN_WATCH_CACHE_AGE_MS, MAX_WATCH_CACHE_AGE_MS)
+        let remaining_s = workers.cancel_s - workers.lease_s * MAX_CLOCK_DRIFT_RATIO - EXPIRY_MARGIN_S;
+        millis(remaining_s).clamp(MIN_WATCH_CACHE_AGE_LIMIT_MS, MAX_WATCH_CACHE_AGE_LIMIT_MS)
     }
 
-    /// What is odd but no reason not to start.
+    /// Returns warnings about settings that are questionable but do not prevent a start.
     pub fn warnings(&self) -> Vec<String> {
         let workers = &self.params.workers;
-        let cache_age_s = MIN_WATCH_CACHE_AGE_MS as f64 / 1000.0;
-        let min_cancel_s = workers.lease_s * CLOCK_DRIFT + EXPIRY_MARGIN_S + cache_age_s;
+        let cache_age_limit_s = MIN_WATCH_CACHE_AGE_LIMIT_MS as f64 / 1000.0;
+        let min_cancel_s = workers.lease_s * MAX_CLOCK_DRIFT_RATIO + EXPIRY_MARGIN_S + cache_age_limit_s;
         if workers.cancel_s >= min_cancel_s {
             return Vec::new();
         }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The settings file that the platform hands over. Unknown fields are ignored;
-//! missing or nonsensical ones are refused by name.
+//! The settings file that the platform provides. Unknown fields are ignored. A missing field
+//! or an unusable value is an error that names the field.
 
 mod connection_limits;
 mod lease_timing;
@@ -13,21 +13,21 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why there are no settings to start with.
+/// Why the settings could not be loaded.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Read {
         /// Path of the settings file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not TOML, or a required field is missing or of another type.
+    /// The file is not TOML, or a required field is missing or has the wrong type.
     #[error("not a valid settings file: {0}")]
     Parse(#[from] toml::de::Error),
-    /// A field has a value that no controller can work with.
+    /// A field has a value that is not accepted.
     #[error(transparent)]
     Invalid(#[from] InvalidSetting),
 }
@@ -43,9 +43,9 @@
     /// Address on which users, workers and health checks are served.
     #[serde(rename = "serve_on")]
     pub listen: SocketAddr,
-    /// Address on which the other controllers' links are accepted.
+    /// Address on which links from the other controllers are accepted.
     pub peer_listen: SocketAddr,
-    /// The other controllers.
+    /// The other controllers, to which this one keeps links.
     #[serde(rename = "seeds", default)]
     pub peers: Vec<Peer>,
     /// Addresses of the services that the controllers depend on.
@@ -58,35 +58,35 @@
 /// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
-    /// Name of that controller.
+    /// Name of the controller.
     pub node: String,
-    /// Zone in which it runs.
+    /// Zone in which the controller runs.
     #[serde(rename = "location")]
     pub zone: String,
-    /// Address on which it accepts links from other controllers.
+    /// Address on which the controller accepts links from other controllers.
     pub address: SocketAddr,
 }
 
 /// Addresses of the services that the controllers depend on.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Services {
-    /// The cloud, which rents machines out.
+    /// The cloud API, through which machines are rented.
     pub cloud: SocketAddr,
-    /// The state service, which holds all lasting state.
+    /// The state service, which stores all persistent state.
     pub state: SocketAddr,
 }
 
-/// Parameters of the site.
+/// Parameters of the site, the same for all controllers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Params {
     /// Zones in which machines can be rented.
     pub zones: Vec<String>,
-    /// Bound on how far the wall clocks of two machines differ, in milliseconds.
+    /// Maximum difference between the wall clocks of two machines, in milliseconds.
     #[serde(rename = "time_bound_ms")]
     pub max_clock_skew_ms: f64,
     /// Teams that submit jobs.
     pub teams: Vec<Team>,
-    /// What the site is expected to achieve.
+    /// Service level objectives of the site.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Timing of the workers.
@@ -100,30 +100,31 @@
     pub limits: Limits,
 }
 
-/// What a team is guaranteed and how much it may use at most.
+/// The guaranteed resources and the limits of a team.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
     /// Name of the team, unique among all teams.
     pub name: String,
-    /// Guaranteed processors.
+    /// Number of guaranteed CPUs.
     pub cpus: f64,
-    /// Most processors used at once.
+    /// Maximum number of CPUs used at once.
     pub cpus_max: f64,
-    /// Guaranteed accelerators.
+    /// Number of guaranteed GPUs.
     pub gpus: f64,
-    /// Most accelerators used at once.
+    /// Maximum number of GPUs used at once.
     pub gpus_max: f64,
 }
 
 /// A service level objective of the site.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What is measured.
+    /// What is measured: `wait` is the time until a job starts and `finished` the time until it
+    /// is complete. Objectives of other kinds have no effect.
     pub kind: String,
-    /// Class of jobs it is about, where it is about one.
+    /// Class of jobs that the objective applies to; absent if it applies to none in particular.
     #[serde(default)]
     pub class: Option<String>,
-    /// Time within which it is to happen, in seconds.
+    /// Time limit in seconds; absent for objectives without one.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
@@ -133,49 +134,48 @@
 pub struct WorkerTiming {
     /// Interval between two reports of a worker, in seconds.
     pub report_s: f64,
-    /// How long a worker keeps its tasks without an answer, in seconds.
+    /// How long a worker keeps its tasks without an answer to its reports, in seconds.
     pub lease_s: f64,
-    /// Longest time for which tasks may outlast the cancellation of their job, in
-    /// seconds.
+    /// Maximum time for which tasks may outlast the cancellation of their job, in seconds.
     pub cancel_s: f64,
 }
 
 /// Limits of the state service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StoreLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Maximum number of puts and deletes per second.
     pub write_rps: f64,
-    /// Largest value, in kilobytes.
+    /// Maximum size of a value, in kilobytes.
     pub value_kb: f64,
-    /// Most operations in one transaction.
+    /// Maximum number of operations in one transaction.
     pub txn_ops: u32,
 }
 
 /// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// How long a change may take to show in the list of machines, in seconds.
+    /// Maximum delay before a change appears in the list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
 /// Limits on this process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
-    /// Processors that it may use, a fraction of one or more.
+    /// CPU time that the process may use, in CPUs; may be a fraction of one CPU.
     #[serde(rename = "cores")]
     pub cpu_share: f64,
-    /// Memory, in units of a million bytes.
+    /// Maximum memory, in units of a million bytes.
     pub memory_mb: f64,
-    /// Sockets open at once.
+    /// Maximum number of open sockets.
     pub max_connections: u32,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads, parses and validates a settings file.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
             path: path.to_owned(),
@@ -184,7 +184,7 @@
         Settings::parse(&text)
     }
 
-    /// Reads and checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text)?;
         settings.validate()?;
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,10 +1,10 @@
-//! The settings file: what is read, what is refused, and what follows from it.
+//! Tests of reading and validating settings, and of the values derived from them.
 
-use super::connection_limits::{CONNECTION_BYTES, CONNECTIONS_MEMORY_PART};
-use super::lease_timing::{CLOCK_DRIFT, EXPIRY_MARGIN_S, MAX_WATCH_CACHE_AGE_MS};
+use super::connection_limits::{CONNECTION_BYTES, CONNECTIONS_MEMORY_FRACTION};
+use super::lease_timing::{EXPIRY_MARGIN_S, MAX_CLOCK_DRIFT_RATIO, MAX_WATCH_CACHE_AGE_LIMIT_MS};
 use super::*;
 
-/// Settings of a small site, as the platform hands them over.
+/// Settings of a small site, in the form that the platform provides.
 pub const SAMPLE: &str = r#"
 node = "stall-0"
 location = "north"
@@ -62,8 +62,8 @@
     assert!(error.contains("rps"), "{error}");
 }
 
-/// What is replaced in the sample, by what, and how that is refused.
-const REFUSALS: [(&str, &str, &str); 7] = [
+/// A text in the sample, the invalid text that replaces it, and the resulting error message.
+const INVALID_SETTINGS: [(&str, &str, &str); 7] = [
     (
         r#"node = "stall-0""#,
         r#"node = """#,
@@ -101,32 +101,34 @@
     ),
 ];
 
-/// Every refusal names the field and says what was expected of it.
+/// Every error message names the field and says what was expected of its value.
 #[test]
-fn each_kind_of_problem_says_what_was_expected() {
-    for (valid, refused, message) in REFUSALS {
-        let error = Settings::parse(&SAMPLE.replace(valid, refused)).expect_err(refused);
+fn each_validation_error_names_the_field_and_the_expected_value() {
+    for (valid, invalid, message) in INVALID_SETTINGS {
+        let error = Settings::parse(&SAMPLE.replace(valid, invalid)).expect_err(invalid);
         assert_eq!(error.to_string(), message);
     }
 }
 
-/// Where leases are nearly as long as `cancel_s`, a leader may act on an older
-/// watch cache for less long; where it can't be short enough, that is said by name.
+/// Guards against tasks that outlast a cancellation by more than `cancel_s`: the closer the
+/// leases are to `cancel_s`, the lower is the bound on the age of the watch cache. If even
+/// the lowest bound is too high, a warning names the setting.
 #[test]
-fn the_age_of_the_watch_cache_fits_into_the_time_to_cancel() {
+fn the_watch_cache_age_limit_fits_into_the_cancellation_time() {
     let with = |cancel_s: &str| Settings::parse(&SAMPLE.replace("cancel_s = 65.0", cancel_s)).expect("valid");
-    let plenty = with("cancel_s = 65.0");
-    assert_eq!(plenty.max_watch_cache_age_ms(), MAX_WATCH_CACHE_AGE_MS);
-    assert!(plenty.warnings().is_empty());
+    let long = with("cancel_s = 65.0");
+    assert_eq!(long.max_watch_cache_age_ms(), MAX_WATCH_CACHE_AGE_LIMIT_MS);
+    assert!(long.warnings().is_empty());
     let tight = with("cancel_s = 50.0");
-    let sum = tight.max_watch_cache_age_ms() as f64 / 1000.0 + 45.0 * CLOCK_DRIFT + EXPIRY_MARGIN_S;
+    let sum = tight.max_watch_cache_age_ms() as f64 / 1000.0 + 45.0 * MAX_CLOCK_DRIFT_RATIO + EXPIRY_MARGIN_S;
     assert!(sum <= 50.0 && tight.warnings().is_empty(), "{sum}");
     let short = with("cancel_s = 46.0");
     assert!(short.warnings()[0].contains("params.workers.cancel_s"));
 }
 
-/// Guards against bounds fit for one size: what is served, kept and in flight follows
-/// from the limits, and together they stay within them.
+/// Guards against connection limits that fit only one size of controller: the connections
+/// served, kept idle and in flight are derived from the limits on this process and together
+/// stay within them.
 #[test]
 fn connections_stay_within_sockets_and_memory() {
     for (sockets, memory_mb) in [
@@ -144,7 +146,7 @@
             all + connections.backlog as usize <= sockets,
             "{connections:?} of {sockets}"
         );
-        assert!(all as f64 * CONNECTION_BYTES <= memory_mb * 1e6 * CONNECTIONS_MEMORY_PART);
+        assert!(all as f64 * CONNECTION_BYTES <= memory_mb * 1e6 * CONNECTIONS_MEMORY_FRACTION);
         assert!(connections.served as f64 > 0.4 * all as f64, "{connections:?}");
     }
 }
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,70 +1,71 @@
-//! Refuses settings that no controller can work with, by name.
+//! Validates the values of the settings.
 
 use super::{Limits, Params, Peer, Settings, Team};
 use std::collections::HashSet;
 use thiserror::Error;
 
-/// Fewest operations that one transaction of the state service must allow.
+/// Minimum number of operations that the state service must allow in one transaction.
 const MIN_TRANSACTION_OPERATIONS: u32 = 8;
-/// Below these a controller can't serve a fleet of any size: the program with its
-/// first messages takes some 10 MB (docs/operations.md).
+/// With less memory, a controller cannot serve a fleet of any size: the program takes about
+/// 10 MB after its first messages (docs/operations.md).
 const MIN_MEMORY_MB: f64 = 24.0;
+/// With fewer connections, a controller cannot serve a fleet of any size.
 const MIN_CONNECTIONS: u32 = 64;
 
-/// A field whose value is refused.
+/// A field whose value is not accepted.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("setting `{field}`: {problem}")]
 pub struct InvalidSetting {
-    /// Name of the field, with the tables that it is in.
+    /// Full name of the field, including the tables that contain it.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub problem: Problem,
 }
 
-/// Why the value of a field is refused.
+/// Why the value of a field is not accepted.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum Problem {
-    /// An empty name.
+    /// The name is empty.
     #[error("must not be empty")]
     Empty,
-    /// A number that is zero, negative or not finite.
+    /// The number is zero, negative or not finite.
     #[error("must be a positive number, but is {value}")]
     NotPositive {
-        /// The number given.
+        /// The value in the settings file.
         value: f64,
     },
-    /// A number that is negative or not finite.
+    /// The number is negative or not finite.
     #[error("must not be negative, but is {value}")]
     Negative {
-        /// The number given.
+        /// The value in the settings file.
         value: f64,
     },
-    /// An amount of a team that is negative or not finite.
+    /// A resource amount of a team is negative or not finite.
     #[error("amounts must not be negative, but `{amount}` is {value}")]
     NegativeAmount {
-        /// Which amount.
+        /// Name of the amount, as in the settings file.
         amount: &'static str,
-        /// The number given.
+        /// The value in the settings file.
         value: f64,
     },
-    /// A number that is too small to work with.
+    /// The number is below the minimum.
     #[error("must be at least {minimum}, but is {value}")]
     TooSmall {
-        /// The smallest number that is accepted.
+        /// The smallest accepted value.
         minimum: f64,
-        /// The number given.
+        /// The value in the settings file.
         value: f64,
     },
-    /// A list that must not be empty.
+    /// The list is empty.
     #[error("must name at least one {item}")]
     EmptyList {
-        /// What the list is of.
+        /// What the list contains, in the singular.
         item: &'static str,
     },
-    /// A team that is given a second time.
+    /// Two teams have the same name.
     #[error("is given twice")]
     DuplicateTeam,
-    /// A controller whose name is given a second time.
+    /// Two controllers have the same name.
     #[error("`{node}` is named twice")]
     DuplicateNode {
         /// The name of the controller.
@@ -72,26 +73,26 @@
     },
 }
 
-type Validity = Result<(), InvalidSetting>;
+type ValidationResult = Result<(), InvalidSetting>;
 
 impl Settings {
-    /// Checks every value; the first that is refused is named.
-    pub(super) fn validate(&self) -> Validity {
+    /// Validates every value and returns the first problem found.
+    pub(super) fn validate(&self) -> ValidationResult {
         let params = &self.params;
         if self.node.is_empty() {
-            return refuse("node", Problem::Empty);
+            return reject("node", Problem::Empty);
         }
         check_positive(params)?;
         check_not_negative(params)?;
         check_minimums(params.state.txn_ops, &params.limits)?;
-        require_some(&params.zones, "params.zones", "zone")?;
-        require_some(&params.teams, "params.teams", "team")?;
+        check_not_empty(&params.zones, "params.zones", "zone")?;
+        check_not_empty(&params.teams, "params.teams", "team")?;
         check_teams(&params.teams)?;
         check_peers(&self.node, &self.peers)
     }
 }
 
-fn check_positive(params: &Params) -> Validity {
+fn check_positive(params: &Params) -> ValidationResult {
     let values = [
         ("params.workers.report_s", params.workers.report_s),
         ("params.workers.lease_s", params.workers.lease_s),
@@ -105,26 +106,26 @@
     ];
     for (field, value) in values {
         if !(value.is_finite() && value > 0.0) {
-            return refuse(field, Problem::NotPositive { value });
+            return reject(field, Problem::NotPositive { value });
         }
     }
     Ok(())
 }
 
-fn check_not_negative(params: &Params) -> Validity {
+fn check_not_negative(params: &Params) -> ValidationResult {
     let values = [
         ("params.cloud.list_lag_s", params.cloud.list_lag_s),
         ("params.time_bound_ms", params.max_clock_skew_ms),
     ];
     for (field, value) in values {
         if !is_amount(value) {
-            return refuse(field, Problem::Negative { value });
+            return reject(field, Problem::Negative { value });
         }
     }
     Ok(())
 }
 
-fn check_minimums(transaction_operations: u32, limits: &Limits) -> Validity {
+fn check_minimums(transaction_operations: u32, limits: &Limits) -> ValidationResult {
     let values = [
         (
             "params.state.txn_ops",
@@ -140,18 +141,18 @@
     ];
     for (field, value, minimum) in values {
         if value < minimum {
-            return refuse(field, Problem::TooSmall { minimum, value });
+            return reject(field, Problem::TooSmall { minimum, value });
         }
     }
     Ok(())
 }
 
-fn check_teams(teams: &[Team]) -> Validity {
+fn check_teams(teams: &[Team]) -> ValidationResult {
     let mut names = HashSet::new();
     for team in teams {
         let field = format!("params.teams.{}", team.name);
         if !names.insert(team.name.as_str()) {
-            return refuse(&field, Problem::DuplicateTeam);
+            return reject(&field, Problem::DuplicateTeam);
         }
         let amounts = [
             ("cpus", team.cpus),
@@ -161,32 +162,32 @@
         ];
         for (amount, value) in amounts {
             if !is_amount(value) {
-                return refuse(&field, Problem::NegativeAmount { amount, value });
+                return reject(&field, Problem::NegativeAmount { amount, value });
             }
         }
     }
     Ok(())
 }
 
-fn check_peers(own_name: &str, peers: &[Peer]) -> Validity {
+fn check_peers(own_name: &str, peers: &[Peer]) -> ValidationResult {
     let mut names = HashSet::from([own_name]);
     for peer in peers {
         if !names.insert(peer.node.as_str()) {
             let node = peer.node.clone();
-            return refuse("seeds", Problem::DuplicateNode { node });
+            return reject("seeds", Problem::DuplicateNode { node });
         }
     }
     Ok(())
 }
 
-fn require_some<T>(list: &[T], field: &str, item: &'static str) -> Validity {
+fn check_not_empty<T>(list: &[T], field: &str, item: &'static str) -> ValidationResult {
     if list.is_empty() {
-        return refuse(field, Problem::EmptyList { item });
+        return reject(field, Problem::EmptyList { item });
     }
     Ok(())
 }
 
-fn refuse(field: &str, problem: Problem) -> Validity {
+fn reject(field: &str, problem: Problem) -> ValidationResult {
     Err(InvalidSetting {
         field: field.into(),
         problem,
