--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -26,7 +26,7 @@
     /// Price of an on-demand machine per hour.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// Current price of a spot machine per hour, if there are any of this type.
+    /// Current price of a spot machine per hour; absent if the type has no spot machines.
     #[serde(rename = "spotPrice", default)]
     pub spot_price: Option<f64>,
     /// Nominal boot time in seconds.
@@ -41,7 +41,7 @@
 // The field is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Catalogue {
-    /// The machine types.
+    /// The machine types, each with the zones in which it is offered.
     #[serde(rename = "rigs")]
     pub types: Vec<MachineType>,
 }
@@ -50,8 +50,8 @@
 // The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRequest {
-    /// Name of the request. A repetition under the same name creates nothing new, so a
-    /// name is never used for another request, by any controller.
+    /// Name of the request. Repeating a request with the same name creates no further
+    /// machines, so no controller ever uses a name for a different request.
     #[serde(rename = "hireSlip")]
     pub request: String,
     /// Type of the machines.
@@ -63,7 +63,7 @@
     /// Whether they are spot machines.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// How many are asked for; the cloud may give fewer.
+    /// Number of machines requested; the cloud may provide fewer.
     #[serde(rename = "number")]
     pub count: u32,
 }
@@ -72,7 +72,7 @@
 // The field is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// The names, as assigned by the cloud.
     #[serde(rename = "stalls")]
     pub machines: Vec<String>,
 }
@@ -81,13 +81,14 @@
 // The variants are renamed to the protocol's names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineState {
-    /// Booting. It may already be up, since the list lags.
+    /// Booting. The machine may already be up, since the list lags.
     #[serde(rename = "starting")]
     Starting,
     /// Up.
     #[serde(rename = "running")]
     Running,
-    /// Stopped on its own. It costs nothing and stays listed until it is deleted.
+    /// Stopped without a request to delete it. The machine costs nothing and stays listed until
+    /// it is deleted.
     #[serde(rename = "failed")]
     Failed,
 }
@@ -98,7 +99,7 @@
 pub struct ListedMachine {
     /// Name of the machine.
     pub id: String,
-    /// Address of its worker, if it has one already.
+    /// Address of its worker; absent until the machine has one.
     #[serde(default)]
     pub address: Option<String>,
     /// Type of the machine.
@@ -110,15 +111,15 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// Its state.
+    /// State of the machine at the moment that the list describes.
     #[serde(rename = "standing")]
     pub state: MachineState,
-    /// Seconds from the request for it to the moment that the list describes.
+    /// Seconds from the request for the machine to the moment that the list describes.
     #[serde(rename = "heldS")]
     pub age_s: f64,
 }
 
-/// A page of the machine list, ordered by name. The list lags behind what is true.
+/// A page of the machine list, ordered by name. The list lags behind the actual state.
 // The field is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,9 +1,9 @@
 //! The messages that controllers exchange with users, workers, the cloud and the
 //! state service, as `serde` types.
 //!
-//! The protocol has its own vocabulary on the wire. It is translated here and nowhere
-//! else: Rust names are those of the field, and each `serde` rename gives the protocol's
-//! name. Unknown fields are ignored, as the protocol demands, and a field that may be
+//! The protocol uses its own vocabulary on the wire, which is translated only here: Rust
+//! names are the usual terms for clusters, and each `serde` rename gives the name in the
+//! protocol. Unknown fields are ignored, as the protocol requires, and a field that may be
 //! null may also be missing.
 
 mod cloud;
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -3,17 +3,17 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key as it is read.
+/// A key with its value and version, as returned by a read.
 // The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// Name of the key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Its value.
+    /// JSON value of the key.
     #[serde(rename = "v")]
     pub value: Value,
-    /// Its version: the revision of its last change.
+    /// Version of the key: the revision of its last change.
     #[serde(rename = "entryRev")]
     pub version: u64,
 }
@@ -39,14 +39,14 @@
     /// Name of the key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Version that it must have; 0 if it must not exist.
+    /// Version that the key must have; 0 if the key must not exist.
     #[serde(rename = "entryRev")]
     pub version: u64,
 }
 
 /// A change in a transaction.
-// The protocol tells the two kinds apart by the field that names the key, hence the
-// untagged form; the other fields are renamed to the protocol's names.
+// The enum is untagged because the protocol distinguishes the two kinds by the field that
+// names the key. The other fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
@@ -54,10 +54,10 @@
     Put {
         /// Name of the key.
         put: String,
-        /// Its new value.
+        /// New value of the key.
         #[serde(rename = "v")]
         value: Value,
-        /// Lease whose end removes the key. Without one, the key is detached from any.
+        /// Lease whose end removes the key. Without one, the key is detached from any lease.
         #[serde(rename = "consignment", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -70,7 +70,7 @@
 }
 
 impl Change {
-    /// Puts a key that is attached to no lease.
+    /// Creates a put of a key that is attached to no lease.
     pub fn put(key: impl Into<String>, value: Value) -> Change {
         Change::Put {
             put: key.into(),
@@ -79,20 +79,20 @@
         }
     }
 
-    /// Removes a key.
+    /// Creates a removal of a key.
     pub fn delete(key: impl Into<String>) -> Change {
         Change::Delete { delete: key.into() }
     }
 }
 
-/// An atomic transaction: all changes are applied if all conditions hold, else none is.
+/// An atomic transaction: all changes are applied if all conditions hold, otherwise none.
 // The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// Conditions that must all hold.
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
-    /// What is then changed. Without any, the transaction only compares.
+    /// Changes to apply. Without any, the transaction only checks its conditions.
     #[serde(rename = "apply")]
     pub changes: Vec<Change>,
 }
@@ -101,10 +101,11 @@
 // The revision is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransactionAnswer {
-    /// Revision of the store after the transaction, also the version of every key it put.
+    /// Revision of the store after the transaction, which is also the version of every key
+    /// that it put.
     #[serde(rename = "bookRev")]
     pub revision: u64,
-    /// Keys whose conditions did not hold.
+    /// Keys whose conditions did not hold; empty if the transaction was applied.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed: Vec<String>,
 }
@@ -113,7 +114,7 @@
 // The field is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// How long the lease lasts without being renewed, in milliseconds.
+    /// How long the lease lasts without renewal, in milliseconds.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
@@ -122,7 +123,7 @@
 // The field is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseAnswer {
-    /// Number of the lease.
+    /// Number that identifies the lease.
     #[serde(rename = "consignment")]
     pub lease: u64,
 }
@@ -131,10 +132,10 @@
 // The fields are renamed to the protocol's names; those of the other kind are left out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// Name of the key that was put.
+    /// Name of the key that was put; absent for a removal.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
-    /// Name of the key that was removed.
+    /// Name of the key that was removed; absent for a put.
     #[serde(rename = "drop", default, skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
     /// The value that was put; null for a removal.
@@ -145,7 +146,7 @@
     pub version: u64,
 }
 
-/// The answer to a watch: every change after the revision it was asked for.
+/// The answer to a watch: every change after the requested revision.
 // The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Log {
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn reads_the_report_of_the_protocol_and_ignores_unknown_fields() {
+fn a_report_is_decoded_and_its_unknown_fields_are_ignored() {
     let text = r#"{"stall":"host-000231","address":"10.1.0.232:9000","rig":"g8","yard":"a","loaner":true,
           "saleDay":1,"paddleCount":88,"gavel":41,"recallS":null,"novel":{"x":1},
           "lots":[{"lot":"j-000412/3","relist":2,"standing":"running"},
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn commands_and_transactions_take_the_form_of_the_protocol() {
+fn commands_and_transactions_are_encoded_as_the_protocol_requires() {
     let stop = Command::Stop {
         task: "j-1/2".into(),
         attempt: 3,
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -12,7 +12,7 @@
     /// Ordinary work.
     #[serde(rename = "standard")]
     Standard,
-    /// Work that goes before ordinary work.
+    /// Work that has priority over ordinary work.
     #[serde(rename = "high")]
     High,
     /// Production work: the highest priority.
@@ -21,7 +21,7 @@
 }
 
 /// How the tasks of a job relate to one another.
-// Renamed to the protocol's lower-case name.
+// The variant is renamed to the protocol's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
@@ -36,34 +36,34 @@
 pub struct JobSpec {
     /// Unique id, chosen by the user: `j-` and digits.
     pub id: String,
-    /// Class of jobs that it belongs to, for which the settings name objectives.
+    /// Class of the job. The settings define objectives for classes.
     #[serde(rename = "lotType")]
     pub class: String,
-    /// Team whose guarantee and limit apply.
+    /// Team whose guaranteed resources and limits apply.
     #[serde(rename = "consignor")]
     pub team: String,
-    /// How its tasks relate to one another.
+    /// How the tasks of the job relate to one another.
     #[serde(rename = "saleFormat")]
     pub kind: JobKind,
-    /// Priority of all its tasks.
+    /// Priority of all tasks of the job.
     #[serde(rename = "bidRank")]
     pub priority: Priority,
     /// Number of tasks, which are numbered from 0.
     #[serde(rename = "lots")]
     pub tasks: u32,
-    /// CPUs that each task takes of its machine.
+    /// CPUs that each task uses on its machine.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// GPUs that each task takes of its machine.
+    /// GPUs that each task uses on its machine.
     #[serde(rename = "cards")]
     pub gpus: f64,
-    /// Memory that each task takes of its machine, in GB.
+    /// Memory that each task uses on its machine, in GB.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
-    /// Allowed machine types; any if there is no list.
+    /// Allowed machine types; all are allowed if there is no list.
     #[serde(rename = "rigs", default)]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone; any if none is named.
+    /// The only allowed zone; all are allowed if none is named.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
     /// Whether all tasks must be in the same zone.
@@ -72,7 +72,7 @@
     /// Whether at most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
-    /// Whether its tasks may run on spot machines.
+    /// Whether the tasks may run on spot machines.
     #[serde(rename = "loaner")]
     pub spot: bool,
     /// Image that a machine must have before a task can start on it.
@@ -81,17 +81,17 @@
     /// Size of the image in GB.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
-    /// The owner's estimate of a task's run time, without the image fetch, in seconds.
+    /// The submitter's estimate of the run time of a task, without the image fetch, in seconds.
     #[serde(rename = "appraisedS")]
     pub estimate_s: f64,
-    /// Seconds of progress after which a running task saves a checkpoint. With 0 a
-    /// task never saves, and its work is lost when it is stopped.
+    /// Seconds of progress after which a running task saves a checkpoint. With 0 a task never
+    /// saves one, and its work is lost when it is stopped.
     #[serde(rename = "tallyS")]
     pub checkpoint_s: f64,
     /// Seconds that a task needs to save its progress when it is stopped.
     #[serde(rename = "ledgerS")]
     pub save_s: f64,
-    /// When the job should be complete, in seconds from its submission, if it has a deadline.
+    /// Deadline for completing the job, in seconds from its submission; absent if it has none.
     #[serde(rename = "hammerS", default)]
     pub deadline_s: Option<f64>,
 }
@@ -100,33 +100,33 @@
 // The variants are renamed to the protocol's names, which are also stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Accepted; none of its tasks runs.
+    /// Accepted; no task is running.
     #[serde(rename = "queued")]
     Queued,
-    /// At least one of its tasks runs.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
-    /// All its tasks are done. Final.
+    /// All tasks are done. This state is final.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled by its user. Final.
+    /// Cancelled by the user. This state is final.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
 /// The answer to a submission, a poll or a cancellation.
-// The state is renamed to the protocol's name; what is not given is left out.
+// The state is renamed to the protocol's name; absent counts are left out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// Id of the job.
     pub id: String,
-    /// Its state.
+    /// State of the job.
     #[serde(rename = "standing")]
     pub state: JobState,
-    /// Tasks that are done, for display.
+    /// Number of tasks that are done, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks that run, for display.
+    /// Number of tasks that are running, for display.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -6,13 +6,13 @@
 // The variants are renamed to the protocol's names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waiting for its image.
+    /// Waiting for its image to be fetched.
     #[serde(rename = "fetching")]
     Fetching,
     /// Running.
     #[serde(rename = "running")]
     Running,
-    /// Told to stop, and saving its progress.
+    /// Saving its progress after a command to stop.
     #[serde(rename = "saving")]
     Saving,
     /// No longer running, or never started; [`TaskReport::exit_reason`] says why.
@@ -27,13 +27,13 @@
 // The variants are renamed to the protocol's names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
-    /// Completed; the result is kept.
+    /// Completed; its result is kept.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by command.
+    /// Stopped by a command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Failed, by a fault of the machine or a mistake in the job.
+    /// Failed because of a fault of the machine or an error in the job.
     #[serde(rename = "error")]
     Error,
     /// Start refused: not enough free resources on the machine.
@@ -63,7 +63,7 @@
     /// State of the attempt.
     #[serde(rename = "standing")]
     pub state: TaskState,
-    /// Why it exited, once it has.
+    /// Why the attempt exited; absent until it has.
     #[serde(rename = "passReason", default)]
     pub exit_reason: Option<ExitReason>,
 }
@@ -87,30 +87,31 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// Number of the worker's session: starts at 1 and rises whenever its lease expires.
+    /// Number of the worker's session. It starts at 1 and increases whenever the worker's lease
+    /// expires.
     #[serde(rename = "saleDay")]
     pub agent_epoch: u64,
-    /// Sequence number, which rises with every message of the worker.
+    /// Sequence number, which increases with every message of the worker.
     #[serde(rename = "paddleCount")]
     pub seq: u64,
-    /// Highest fencing token that the worker has seen.
+    /// Highest fencing token that the worker has received.
     #[serde(rename = "gavel")]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes the machine away, if it gave notice.
+    /// Seconds until the cloud reclaims the machine; absent if it has not announced that.
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<f64>,
-    /// All attempts on the machine, including exited ones that it was not yet told to forget.
+    /// All attempts on the machine, including exited ones without a [`Command::Forget`] so far.
     #[serde(rename = "lots")]
     pub tasks: Vec<TaskReport>,
 }
 
-/// A command to a worker. Every command may be repeated, except that a start after a
-/// forget runs the attempt once more.
+/// A command to a worker. Every command may be repeated safely, with one exception: a start
+/// after a forget runs the attempt again.
 // The tag, the variants and their fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "call")]
 pub enum Command {
-    /// Start an attempt. Does nothing if the worker holds this attempt in any state.
+    /// Starts an attempt. Has no effect if the worker has this attempt in any state.
     #[serde(rename = "run")]
     Start {
         /// Name of the task.
@@ -120,7 +121,7 @@
         #[serde(rename = "relist")]
         attempt: u64,
     },
-    /// Stop an attempt.
+    /// Stops an attempt.
     #[serde(rename = "kill")]
     Stop {
         /// Name of the task.
@@ -129,11 +130,11 @@
         /// Number of the attempt.
         #[serde(rename = "relist")]
         attempt: u64,
-        /// Seconds that the task may take to save its progress; with 0 it ends at once.
+        /// Seconds that the task may take to save its progress; with 0 it is stopped at once.
         #[serde(rename = "closingS")]
         grace_s: f64,
     },
-    /// Leave an exited attempt out of the reports from now on.
+    /// Omits an exited attempt from all further reports.
     #[serde(rename = "reap")]
     Forget {
         /// Name of the task.
@@ -149,34 +150,38 @@
 // The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportAnswer {
-    /// Identifies the leader's term; a worker drops answers below the highest it has seen.
+    /// Identifies the leader's term. A worker drops answers with a lower token than the highest
+    /// that it has received.
     #[serde(rename = "gavel")]
     pub fencing_token: u64,
-    /// Commands, executed in this order.
+    /// Commands, which the worker executes in this order.
     #[serde(rename = "calls")]
     pub commands: Vec<Command>,
 }
 
-/// The answer to a report that this controller does not take.
-// The field is renamed to the protocol's name; it is left out where no controller is named.
+/// The answer to a report that this controller does not accept.
+// The field is renamed to the protocol's name, and is left out if it is absent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The controller to report to from now on; without one, the worker tries the next.
+    /// The controller to which to report from now on. Without one, the worker tries the next
+    /// controller.
     #[serde(rename = "auctioneer", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
 
-/// Commands sent straight to a worker. They do not renew its lease.
+/// Commands sent directly to a worker. They do not renew its lease.
 // The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// The leader's term; refused if the worker has seen a higher one.
+    /// Identifies the leader's term. The worker refuses the commands if it has received a higher
+    /// token.
     #[serde(rename = "gavel")]
     pub fencing_token: u64,
-    /// Session of the worker; refused if it is in another by then.
+    /// Number of the worker's session. The worker refuses the commands if it is in another
+    /// session when they arrive.
     #[serde(rename = "saleDay")]
     pub agent_epoch: u64,
-    /// Commands, executed in this order.
+    /// Commands, which the worker executes in this order.
     #[serde(rename = "calls")]
     pub commands: Vec<Command>,
 }
