--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -4,7 +4,7 @@
 use super::error::CliError;
 use super::load;
 
-/// Checks the settings and the policy script, and prints what they say.
+/// Checks the settings and the policy script, and prints a summary of them.
 pub fn check(files: &Files) -> Result<(), CliError> {
     let (settings, policy) = load(files)?;
     println!(
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, as the user reads it.
+//! Errors of the commands, with the messages shown to the user.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,41 +11,41 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub enum CliError {
-    /// The settings file is refused.
+    /// The settings file could not be read or is not valid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The policy script is refused.
+    /// The policy script could not be read or is not valid.
     #[error(transparent)]
     Policy(#[from] PolicyError),
-    /// The environment asks for a log level that there isn't.
-    #[error("LOG_LEVEL is `{0}`, not error, info or debug")]
+    /// The environment variable `LOG_LEVEL` names no log level.
+    #[error("LOG_LEVEL must be error, info or debug, but is `{0}`")]
     LogLevel(String),
-    /// The system gives no means to wait for input and output.
+    /// The asynchronous runtime could not be started.
     #[error("cannot start the asynchronous runtime: {0}")]
     AsyncRuntime(#[source] io::Error),
-    /// The controller could not start, or stopped.
+    /// The controller could not start or did not keep running.
     #[error(transparent)]
     Serve(#[from] ServeError),
-    /// The description of a job can't be read.
+    /// The file that describes a job could not be read.
     #[error("cannot read {}: {source}", path.display())]
     ReadJob {
-        /// Path of the description.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The controller gave no answer.
+    /// The controller did not answer.
     #[error("no answer from {server}: {source}")]
     NoAnswer {
         /// Address of the controller.
         server: SocketAddr,
-        /// What became of the request.
+        /// Whether the request was sent.
         source: RequestError,
     },
-    /// The controller answered that it won't do it.
-    #[error("refused with status {status}")]
+    /// The controller refused the request.
+    #[error("the controller refused the request with status {status}")]
     Refused {
-        /// Status of the HTTP response.
+        /// Status code of the HTTP response.
         status: u16,
     },
 }
--- a/src/cli/job.rs
+++ b/src/cli/job.rs
@@ -1,4 +1,4 @@
-//! `sumacbend job`: submits, shows and cancels jobs over HTTP, as any user may.
+//! `sumacbend job`: submits, shows and cancels jobs through the HTTP interface for users.
 
 use super::arguments::JobCommand;
 use super::async_runtime;
@@ -8,10 +8,11 @@
 use std::time::Duration;
 use sumacbend::runtime::{HttpClient, HttpRequest};
 
-/// How long to wait for the answer.
+/// How long to wait for the head of the response, and again for its body.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks a controller and prints its answer.
+/// Sends the request to the controller and prints the body of the response. Fails if the
+/// controller refuses the request.
 pub fn run(command: JobCommand) -> Result<(), CliError> {
     let (server, request) = into_request(command)?;
     let client = HttpClient::default();
--- a/src/cli/logging.rs
+++ b/src/cli/logging.rs
@@ -1,4 +1,4 @@
-//! The log, which goes to the standard error stream.
+//! Logging to the standard error stream.
 
 use super::error::CliError;
 use std::env;
@@ -7,13 +7,13 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Environment variable that sets how much is logged.
-const LEVEL_VARIABLE: &str = "LOG_LEVEL";
+/// Environment variable that sets the log level.
+const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
-/// Logs from now on, as much as the environment asks for.
+/// Starts logging at the level set in the environment.
 pub fn start() -> Result<(), CliError> {
-    let level = level()?;
-    // The HTTP library tells of every connection that idles out.
+    let level = level_from_env()?;
+    // poem logs every connection that is closed because it was idle.
     let targets = Targets::new()
         .with_default(level)
         .with_target("poem", LevelFilter::WARN.min(level));
@@ -24,8 +24,9 @@
     Ok(())
 }
 
-fn level() -> Result<LevelFilter, CliError> {
-    let Ok(name) = env::var(LEVEL_VARIABLE) else {
+/// Returns the level set in the environment, or `info` if none is set.
+fn level_from_env() -> Result<LevelFilter, CliError> {
+    let Ok(name) = env::var(LOG_LEVEL_VARIABLE) else {
         return Ok(LevelFilter::INFO);
     };
     match name.as_str() {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one module for each command, and what they share.
+//! The command line, with one module for each command.
 
 mod arguments;
 mod check;
@@ -14,7 +14,7 @@
 use sumacbend::settings::Settings;
 use tokio::runtime::{Builder, Runtime};
 
-/// Carries out the command that this process was started with.
+/// Runs the command given on the command line.
 pub fn run() -> Result<(), CliError> {
     match Arguments::parse().command {
         Command::Serve(files) => serve::serve(&files),
@@ -23,13 +23,14 @@
     }
 }
 
+/// Loads and checks the settings and the policy script.
 fn load(files: &Files) -> Result<(Settings, Policy), CliError> {
     let settings = Settings::load(&files.config)?;
     let policy = Policy::load(files.policy.as_deref())?;
     Ok((settings, policy))
 }
 
-/// One thread serves all: a controller has a small part of one processor.
+/// Creates a single-threaded runtime: a controller has only a small fraction of one CPU.
 fn async_runtime() -> Result<Runtime, CliError> {
     Builder::new_current_thread()
         .enable_all()
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The program: reads the command line and exits with what came of it.
+//! The `sumacbend` program: runs the command given on the command line, and exits with a
+//! failure status if the command fails.
 
 mod cli;
 
