--- a/src/runtime/http_client/idle_connections.rs
+++ b/src/runtime/http_client/idle_connections.rs
@@ -42,7 +42,8 @@
         ready
     }
 
-    /// Keeps a connection. If that exceeds the maximum, drops those to another address.
+    /// Keeps a connection, unless there are enough to its address. At the maximum in total,
+    /// drops those to another address first.
     pub(super) fn keep(&mut self, address: SocketAddr, connection: Connection) {
         if self.count >= self.max {
             self.drop_another_address(address);
--- a/src/runtime/http_server.rs
+++ b/src/runtime/http_server.rs
@@ -33,7 +33,7 @@
 /// Maximum length of a request head; hyper accepts no smaller bound.
 const MAX_HEAD_BYTES: usize = 8_192;
 
-/// The addresses of both addresses of a connection.
+/// The local and the remote address of a connection.
 #[derive(Clone, Copy)]
 struct ConnectionAddresses {
     local: SocketAddr,
--- a/src/settings/connection_limits.rs
+++ b/src/settings/connection_limits.rs
@@ -17,7 +17,7 @@
 const IN_FLIGHT_FRACTION: f64 = 0.12;
 /// Number of connections to the state service, the cloud and the other controllers.
 const FIXED_CONNECTIONS: u32 = 40;
-/// At most one in this many connections is a fixed one, which matters where there are few.
+/// Where there are few connections, at most one in this many is reserved as a fixed one.
 const FIXED_CONNECTIONS_DIVISOR: u32 = 4;
 /// Fraction of the memory for unfinished submissions. Each is held up to three times: as it
 /// was received, as it was decoded, and as it is written or forwarded.
