--- a/tests/rules/meetings/cancellations.rs
+++ b/tests/rules/meetings/cancellations.rs
@@ -2,7 +2,7 @@
 
 use super::{pick, run_meeting};
 use crate::LEADER;
-use crate::world::{CANCEL_MS, Fault, LEASE_MS};
+use crate::world::{CANCEL_DEADLINE_MS, Fault, LEASE_MS};
 use rand::Rng;
 
 /// A leader keeps only its workers and users while jobs are cancelled through
@@ -11,7 +11,7 @@
 fn a_leader_cut_from_all_but_workers_and_users_while_jobs_are_cancelled() {
     run_meeting(10, |rng| {
         let at = rng.random_range(35_000..60_000);
-        let ms = pick(rng, &[6_000, LEASE_MS, CANCEL_MS + 20_000]);
+        let ms = pick(rng, &[6_000, LEASE_MS, CANCEL_DEADLINE_MS + 20_000]);
         let mut faults = vec![(at, Fault::CutFromAllButWorkers { node: LEADER, ms })];
         for _ in 0..3 {
             let hang_ms = pick(rng, &[0, 9_000, LEASE_MS]);
@@ -62,7 +62,7 @@
 fn a_leader_whose_reads_are_lost_while_jobs_are_cancelled() {
     let played = run_meeting(15, |rng| {
         let at = rng.random_range(30_000..50_000);
-        let ms = CANCEL_MS + rng.random_range(10_000..30_000);
+        let ms = CANCEL_DEADLINE_MS + rng.random_range(10_000..30_000);
         vec![
             (at, Fault::ReadsLost { node: LEADER, ms }),
             (
--- a/tests/rules/meetings/state_service_outages.rs
+++ b/tests/rules/meetings/state_service_outages.rs
@@ -2,7 +2,7 @@
 
 use super::{pick, run_meeting, seeds};
 use crate::LEADER;
-use crate::world::{CANCEL_MS, Fault, LEASE_MS, World};
+use crate::world::{CANCEL_DEADLINE_MS, Fault, LEASE_MS, World};
 use rand::Rng;
 
 /// The state service refuses the leader alone, jobs are cancelled through
@@ -14,7 +14,10 @@
 fn cancelled_jobs_stop_when_the_store_refuses_the_leader_and_then_is_out() {
     run_meeting(12, |rng| {
         let at = rng.random_range(40_000..60_000);
-        let outage = pick(rng, &[8_000, LEASE_MS - 3_000, LEASE_MS + 8_000, CANCEL_MS + 12_000]);
+        let outage = pick(
+            rng,
+            &[8_000, LEASE_MS - 3_000, LEASE_MS + 8_000, CANCEL_DEADLINE_MS + 12_000],
+        );
         let starts = at + rng.random_range(300..3_000);
         let refused_ms = pick(rng, &[1_000, outage / 2, outage + 1_000, outage + 12_000]);
         let mut faults = vec![
@@ -98,7 +101,9 @@
             (at + 9_200, Fault::CancelNow { hang_ms: 0 }),
             (
                 at + rng.random_range(10_000..14_000),
-                Fault::StoreOutage { ms: CANCEL_MS + 5_000 },
+                Fault::StoreOutage {
+                    ms: CANCEL_DEADLINE_MS + 5_000,
+                },
             ),
             (at + 70_000, Fault::DelayedTransactions { ms: 15_000 }),
         ]
@@ -151,7 +156,7 @@
 fn a_leader_without_all_promises_stops() {
     run_meeting(12, |rng| {
         let at = rng.random_range(40_000..55_000);
-        let ms = CANCEL_MS + rng.random_range(5_000..20_000);
+        let ms = CANCEL_DEADLINE_MS + rng.random_range(5_000..20_000);
         let other = rng.random_range(0..3);
         vec![
             (at, Fault::StoreRefuses { node: LEADER, ms }),
--- a/tests/rules/rule_checks.rs
+++ b/tests/rules/rule_checks.rs
@@ -1,7 +1,7 @@
 //! The checks themselves: each reports a fault that is put in on purpose.
 
 use crate::run_to_completion;
-use crate::world::{CANCEL_MS, RequestKind, Told, World};
+use crate::world::{CANCEL_DEADLINE_MS, RequestKind, Told, World};
 
 /// A world without controllers in which one job is known to its user.
 fn accepted(tasks: u32) -> World {
@@ -56,16 +56,16 @@
         let mut world = accepted(1);
         world.begins("host-0", "j-000000/0");
         if hangs {
-            world.hang("host-0", 10 * CANCEL_MS);
+            world.hang("host-0", 10 * CANCEL_DEADLINE_MS);
         }
         world.tell(0, Told::Cancelled);
-        world.now += CANCEL_MS;
+        world.now += CANCEL_DEADLINE_MS;
         world.check_cancelled();
         assert!(world.violations.is_empty());
         world.now += 1;
         world.check_cancelled();
         assert!(violates(&world, "ran_cancelled"));
-        assert_eq!(world.longest_cancelled, CANCEL_MS + 1);
+        assert_eq!(world.longest_cancelled, CANCEL_DEADLINE_MS + 1);
     }
 }
 
@@ -76,7 +76,7 @@
     world.begins("host-0", "j-000000/0");
     assert_eq!(world.starts_after_cancel, 1);
     assert!(world.violations.is_empty());
-    world.now += CANCEL_MS + 1;
+    world.now += CANCEL_DEADLINE_MS + 1;
     world.begins("host-0", "j-000000/1");
     assert!(violates(&world, "ran_cancelled"));
 }
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -23,7 +23,7 @@
         if job.told == Told::Cancelled {
             self.starts_after_cancel += 1;
         }
-        if job.told == Told::Cancelled && now > job.told_at + CANCEL_MS {
+        if job.told == Told::Cancelled && now > job.told_at + CANCEL_DEADLINE_MS {
             self.violations.push(format!("ran_cancelled: {task} started at {now}"));
         }
         let job = &mut self.jobs[index];
@@ -106,7 +106,7 @@
             };
             let after = self.now - job.told_at;
             self.longest_cancelled = self.longest_cancelled.max(after);
-            if after > CANCEL_MS {
+            if after > CANCEL_DEADLINE_MS {
                 self.violations
                     .push(format!("ran_cancelled: {task} on {machines:?} at {}", self.now));
             }
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -41,7 +41,7 @@
 use worker::{Effect, Worker};
 
 pub const LEASE_MS: u64 = 20_000;
-pub const CANCEL_MS: u64 = 40_000;
+pub const CANCEL_DEADLINE_MS: u64 = 40_000;
 /// The controller in the south.
 const SOUTH_NODE: usize = 1;
 const KNOWN_MS: u64 = 75_000;
