--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -12,7 +12,7 @@
 
 use rand::Rng;
 use rand::rngs::StdRng;
-use world::{Fault, Told, World};
+use world::{Fault, KnownState, World};
 
 /// Whoever leads the shard when the fault begins.
 const LEADER: usize = 9;
@@ -35,7 +35,7 @@
     let open: Vec<_> = world
         .jobs
         .iter()
-        .filter(|job| !matches!(job.told, Told::Done | Told::Cancelled))
+        .filter(|job| !matches!(job.told, KnownState::Done | KnownState::Cancelled))
         .collect();
     let open: Vec<_> = open.iter().map(|job| (&job.spec.id, job.told)).collect();
     assert!(open.is_empty(), "seed {seed}: never finished {open:?}\n{faults:#?}");
--- a/tests/rules/mistaken_jobs_and_backfill.rs
+++ b/tests/rules/mistaken_jobs_and_backfill.rs
@@ -1,7 +1,7 @@
 //! What the operators' on-call staff met: backfill of a guest team beside urgent
 //! work, jobs submitted with a mistake, and machines that boot late or never.
 
-use crate::world::{Fault, Told, World};
+use crate::world::{Fault, KnownState, World};
 use crate::{LEADER, draw_fault, run_to_completion};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -94,7 +94,11 @@
             world.submit_mistaken(5_000 + index * 700, 90_000, spec(team, 8));
         }
         let world = run_to_completion(world, seed, &faults);
-        let cancelled = world.jobs.iter().filter(|job| job.told == Told::Cancelled).count();
+        let cancelled = world
+            .jobs
+            .iter()
+            .filter(|job| job.told == KnownState::Cancelled)
+            .count();
         assert!(cancelled >= 10, "seed {seed}: {cancelled} cancelled");
         // Alone and ever more rarely: ten jobs of eight tasks for 85 s.
         assert!(world.failures < 400, "seed {seed}: {} failures", world.failures);
--- a/tests/rules/single_faults.rs
+++ b/tests/rules/single_faults.rs
@@ -1,6 +1,6 @@
 //! One kind of fault at a time, and mixtures drawn from seeds.
 
-use crate::world::{Fault, Told, World};
+use crate::world::{Fault, KnownState, World};
 use crate::{LEADER, check, check_with, draw_fault};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -111,7 +111,7 @@
             world
                 .jobs
                 .iter()
-                .all(|job| matches!(job.told, Told::Done | Told::Cancelled))
+                .all(|job| matches!(job.told, KnownState::Done | KnownState::Cancelled))
         );
     }
 }
@@ -127,7 +127,7 @@
     let open = world
         .jobs
         .iter()
-        .filter(|job| matches!(job.told, Told::Accepted))
+        .filter(|job| matches!(job.told, KnownState::Accepted))
         .count();
     assert_eq!(open, 0, "jobs wait for machines that are not reached");
     assert_eq!(world.deaf_machines(), 0);
--- a/tests/rules/takeover_from_stored_state.rs
+++ b/tests/rules/takeover_from_stored_state.rs
@@ -1,7 +1,7 @@
 //! A leader takes over from a store that an earlier build filled: the values are those
 //! of `tests/golden/stored`, so what is stored is understood, not just read.
 
-use crate::world::{Told, World};
+use crate::world::{KnownState, World};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -68,7 +68,7 @@
     for (key, value) in &stored {
         world.put_stored(key, value.clone());
     }
-    let (done, accepted, cancelled) = (Told::Done, Told::Accepted, Told::Cancelled);
+    let (done, accepted, cancelled) = (KnownState::Done, KnownState::Accepted, KnownState::Cancelled);
     let told = [accepted, accepted, done, cancelled, accepted, accepted, done];
     for (index, told) in told.into_iter().enumerate() {
         world.add_known_job(spec(&stored, index), told);
@@ -117,8 +117,8 @@
         let started_before = RUNNING.len() + 1;
         assert_eq!(world.starts as usize, started_before + TO_START.len(), "seed {seed}");
 
-        let told: Vec<Told> = world.jobs.iter().map(|job| job.told).collect();
-        let (done, cancelled) = (Told::Done, Told::Cancelled);
+        let told: Vec<KnownState> = world.jobs.iter().map(|job| job.told).collect();
+        let (done, cancelled) = (KnownState::Done, KnownState::Cancelled);
         assert_eq!(told, [done, done, done, cancelled, done, done, done], "seed {seed}");
         // The machine request that was written and never answered was asked for again.
         assert!(world.rented_as("pool-41-7").is_some_and(|names| names.len() == 2));
--- a/tests/rules/world/fault_injection.rs
+++ b/tests/rules/world/fault_injection.rs
@@ -164,7 +164,8 @@
                 continue;
             };
             let job = &mut self.jobs[index];
-            if job.told == Told::Accepted && job.cancel_at.is_none_or(|at| at > self.now) && !machines.is_empty() {
+            if job.told == KnownState::Accepted && job.cancel_at.is_none_or(|at| at > self.now) && !machines.is_empty()
+            {
                 job.cancel_at = Some(self.now);
                 if hangs.len() < 8 {
                     hangs.extend(machines.iter().cloned());
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -21,7 +21,7 @@
 mod worker;
 
 pub use fault::Fault;
-pub use users::{RequestKind, Told, UserJob};
+pub use users::{KnownState, RequestKind, UserJob};
 
 use scheduled_event::{Caller, ScheduledEvent, Waiting};
 use state_service::OpenWatch;
--- a/tests/rules/world/stored.rs
+++ b/tests/rules/world/stored.rs
@@ -67,14 +67,14 @@
     }
 
     /// A job that its user submitted before this world began, as it was told of it.
-    pub fn add_known_job(&mut self, spec: JobSpec, told: Told) {
+    pub fn add_known_job(&mut self, spec: JobSpec, told: KnownState) {
         let index = self.jobs.len();
         assert_eq!(spec.id, format!("j-{index:06}"), "jobs go by their number");
         let mut job = self.draw_job(index);
         job.spec = spec;
         job.submit_at = self.now;
         job.told = told;
-        job.cancel_asked = told == Told::Cancelled;
+        job.cancel_asked = told == KnownState::Cancelled;
         job.cancel_at = job.cancel_asked.then_some(self.now);
         self.jobs.push(job);
         self.at(self.now + 1_000, ScheduledEvent::User(index));
--- a/tests/rules/world/user_answers.rs
+++ b/tests/rules/world/user_answers.rs
@@ -11,7 +11,7 @@
             return;
         }
         let job = &mut self.jobs[index];
-        if matches!(answer.status, 400 | 422) || (answer.status == 404 && job.told != Told::Nothing) {
+        if matches!(answer.status, 400 | 422) || (answer.status == 404 && job.told != KnownState::Nothing) {
             self.violations.push(format!(
                 "forgotten: {id} answered {} at {now} ({})",
                 answer.status, answer.body
@@ -24,9 +24,9 @@
         job.answered_at = now;
         let status: JobStatus = serde_json::from_str(&answer.body).expect("a job's state");
         let told = match status.state {
-            JobState::Queued | JobState::Running => Told::Accepted,
-            JobState::Done => Told::Done,
-            JobState::Cancelled => Told::Cancelled,
+            JobState::Queued | JobState::Running => KnownState::Accepted,
+            JobState::Done => KnownState::Done,
+            JobState::Cancelled => KnownState::Cancelled,
         };
         // On its way already when the user was told otherwise: not an answer
         // given after that.
@@ -53,15 +53,15 @@
     }
 
     /// An end is not taken back, none comes unasked, and all tasks of a finished job are done.
-    fn check_told(&mut self, index: usize, told: Told) {
+    fn check_told(&mut self, index: usize, told: KnownState) {
         let (now, job) = (self.now, &self.jobs[index]);
         let id = &job.spec.id;
-        let ended = matches!(job.told, Told::Done | Told::Cancelled);
-        if (ended && told != job.told) || (told == Told::Cancelled && !job.cancel_asked) {
+        let ended = matches!(job.told, KnownState::Done | KnownState::Cancelled);
+        if (ended && told != job.told) || (told == KnownState::Cancelled && !job.cancel_asked) {
             self.violations
                 .push(format!("went_back: {id} was {:?}, now {told:?} at {now}", job.told));
         }
-        if told == Told::Done {
+        if told == KnownState::Done {
             let missing = (0..job.spec.tasks)
                 .filter(|task| !self.done_tasks.contains(&format!("{id}/{task}")))
                 .count();
@@ -100,11 +100,11 @@
         let index = self.rng.random_range(0..self.jobs.len());
         let job = &self.jobs[index];
         let (kind, user_request) = match self.rng.random_range(0..4) {
-            0 if job.told != Told::Nothing => (
+            0 if job.told != KnownState::Nothing => (
                 RequestKind::Submit,
                 UserRequest::Submit(serde_json::to_string(&job.spec).expect("json")),
             ),
-            1 if job.told == Told::Done => (RequestKind::Cancel, UserRequest::Cancel(job.spec.id.clone())),
+            1 if job.told == KnownState::Done => (RequestKind::Cancel, UserRequest::Cancel(job.spec.id.clone())),
             2 => (
                 RequestKind::Invalid,
                 UserRequest::Submit(self.invalid_job().to_string()),
@@ -144,7 +144,7 @@
     }
 
     /// For tests of the checks: the user was told so just now.
-    pub fn tell(&mut self, index: usize, told: Told) {
+    pub fn tell(&mut self, index: usize, told: KnownState) {
         let (now, job) = (self.now, &mut self.jobs[index]);
         job.told = told;
         job.told_at = now;
