--- a/tests/rules/fleet_at_size.rs
+++ b/tests/rules/fleet_at_size.rs
@@ -44,7 +44,7 @@
     );
     world.run(150_000);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
-    assert!(world.jobs.iter().all(|job| job.told == KnownState::Done));
+    assert!(world.jobs.iter().all(|job| job.known_state == KnownState::Done));
 }
 
 /// A fleet of one to two thousand machines: the state service is out, all
@@ -72,7 +72,11 @@
     assert!(machines > 1_000, "{machines} machines");
     world.run(330_000);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
-    let open = world.jobs.iter().filter(|job| job.told != KnownState::Done).count();
+    let open = world
+        .jobs
+        .iter()
+        .filter(|job| job.known_state != KnownState::Done)
+        .count();
     assert_eq!(open, 0);
     // The service's limits hold in every phase, all controllers together.
     assert!(world.sent.store_writes < 80 * 330, "{:?}", world.sent);
@@ -97,7 +101,11 @@
     assert!(machines > 4_200, "{machines} machines");
     world.run(400_000);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
-    let open = world.jobs.iter().filter(|job| job.told != KnownState::Done).count();
+    let open = world
+        .jobs
+        .iter()
+        .filter(|job| job.known_state != KnownState::Done)
+        .count();
     assert_eq!(open, 0);
     assert_eq!(world.lost_tasks, 0, "no lease ran out");
     // The service's limits, all controllers together.
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -35,9 +35,9 @@
     let open: Vec<_> = world
         .jobs
         .iter()
-        .filter(|job| !matches!(job.told, KnownState::Done | KnownState::Cancelled))
+        .filter(|job| !matches!(job.known_state, KnownState::Done | KnownState::Cancelled))
         .collect();
-    let open: Vec<_> = open.iter().map(|job| (&job.spec.id, job.told)).collect();
+    let open: Vec<_> = open.iter().map(|job| (&job.spec.id, job.known_state)).collect();
     assert!(open.is_empty(), "seed {seed}: never finished {open:?}\n{faults:#?}");
     assert!(world.starts > 0);
     world
--- a/tests/rules/mistaken_jobs_and_backfill.rs
+++ b/tests/rules/mistaken_jobs_and_backfill.rs
@@ -97,7 +97,7 @@
         let cancelled = world
             .jobs
             .iter()
-            .filter(|job| job.told == KnownState::Cancelled)
+            .filter(|job| job.known_state == KnownState::Cancelled)
             .count();
         assert!(cancelled >= 10, "seed {seed}: {cancelled} cancelled");
         // Alone and ever more rarely: ten jobs of eight tasks for 85 s.
--- a/tests/rules/scheduling.rs
+++ b/tests/rules/scheduling.rs
@@ -20,7 +20,7 @@
     assert!(world.stored("kept/pool/firing/") > 0);
     world.run(300_000);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
-    assert_eq!(world.jobs[0].told, KnownState::Cancelled);
+    assert_eq!(world.jobs[0].known_state, KnownState::Cancelled);
     assert_eq!(world.stored("kept/pool/firing/") + world.stored("live/pool/job/"), 0);
     assert_eq!(world.stored("kept/pool/end/"), 1);
 }
@@ -57,8 +57,15 @@
     }
     let done = large
         .iter()
-        .filter(|&&index| world.jobs[index].told == KnownState::Done)
+        .filter(|&&index| world.jobs[index].known_state == KnownState::Done)
         .count();
     assert!(done * 2 >= large.len(), "{done} of the large jobs done");
-    assert!(world.jobs.iter().filter(|job| job.told == KnownState::Done).count() > 100);
+    assert!(
+        world
+            .jobs
+            .iter()
+            .filter(|job| job.known_state == KnownState::Done)
+            .count()
+            > 100
+    );
 }
--- a/tests/rules/single_faults.rs
+++ b/tests/rules/single_faults.rs
@@ -111,7 +111,7 @@
             world
                 .jobs
                 .iter()
-                .all(|job| matches!(job.told, KnownState::Done | KnownState::Cancelled))
+                .all(|job| matches!(job.known_state, KnownState::Done | KnownState::Cancelled))
         );
     }
 }
@@ -127,7 +127,7 @@
     let open = world
         .jobs
         .iter()
-        .filter(|job| matches!(job.told, KnownState::Accepted))
+        .filter(|job| matches!(job.known_state, KnownState::Accepted))
         .count();
     assert_eq!(open, 0, "jobs wait for machines that are not reached");
     assert_eq!(world.deaf_machines(), 0);
--- a/tests/rules/takeover_from_stored_state.rs
+++ b/tests/rules/takeover_from_stored_state.rs
@@ -117,7 +117,7 @@
         let started_before = RUNNING.len() + 1;
         assert_eq!(world.starts as usize, started_before + TO_START.len(), "seed {seed}");
 
-        let told: Vec<KnownState> = world.jobs.iter().map(|job| job.told).collect();
+        let told: Vec<KnownState> = world.jobs.iter().map(|job| job.known_state).collect();
         let (done, cancelled) = (KnownState::Done, KnownState::Cancelled);
         assert_eq!(told, [done, done, done, cancelled, done, done, done], "seed {seed}");
         // The machine request that was written and never answered was asked for again.
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -20,10 +20,10 @@
         self.failures += u64::from(self.mistaken.contains(&job.spec.id));
         self.check_place(index, machine, task);
         let job = &self.jobs[index];
-        if job.told == KnownState::Cancelled {
+        if job.known_state == KnownState::Cancelled {
             self.starts_after_cancel += 1;
         }
-        if job.told == KnownState::Cancelled && now > job.told_at + CANCEL_DEADLINE_MS {
+        if job.known_state == KnownState::Cancelled && now > job.told_at + CANCEL_DEADLINE_MS {
             self.violations.push(format!("ran_cancelled: {task} started at {now}"));
         }
         let job = &mut self.jobs[index];
@@ -76,10 +76,10 @@
     /// at no time one 90 s while most others get theirs.
     pub fn check_known(&mut self) {
         let now = self.now;
-        let known = self.jobs.iter().filter(|job| job.told != KnownState::Nothing);
+        let known = self.jobs.iter().filter(|job| job.known_state != KnownState::Nothing);
         // By the protocol users ask until the end; what has ended is answered
         // without the state service, and would pass for most others in an outage.
-        let asking = known.clone().filter(|job| job.told == KnownState::Accepted);
+        let asking = known.clone().filter(|job| job.known_state == KnownState::Accepted);
         let heard = asking.clone().filter(|job| now < job.answered_at + 10_000).count();
         let most = heard * 2 > asking.count();
         // An outage that all share singles out nobody, nor does its end.
@@ -101,7 +101,7 @@
     pub fn check_cancelled(&mut self) {
         for (task, machines) in self.task_machines.iter().filter(|(_, machines)| !machines.is_empty()) {
             let job = self.job_of(task).map(|index| &self.jobs[index]);
-            let Some(job) = job.filter(|job| job.told == KnownState::Cancelled) else {
+            let Some(job) = job.filter(|job| job.known_state == KnownState::Cancelled) else {
                 continue;
             };
             let after = self.now - job.told_at;
@@ -119,7 +119,7 @@
     pub fn check_waiting(&mut self) {
         for index in 0..self.jobs.len() {
             let job = &self.jobs[index];
-            let waits = job.told == KnownState::Accepted
+            let waits = job.known_state == KnownState::Accepted
                 && job.cancel_at.is_none_or(|at| self.now < at)
                 && self.now > self.faults_end_at
                 && self.waits_beside_room(job);
--- a/tests/rules/world/fault_injection.rs
+++ b/tests/rules/world/fault_injection.rs
@@ -164,7 +164,9 @@
                 continue;
             };
             let job = &mut self.jobs[index];
-            if job.told == KnownState::Accepted && job.cancel_at.is_none_or(|at| at > self.now) && !machines.is_empty()
+            if job.known_state == KnownState::Accepted
+                && job.cancel_at.is_none_or(|at| at > self.now)
+                && !machines.is_empty()
             {
                 job.cancel_at = Some(self.now);
                 if hangs.len() < 8 {
--- a/tests/rules/world/stored.rs
+++ b/tests/rules/world/stored.rs
@@ -73,7 +73,7 @@
         let mut job = self.draw_job(index);
         job.spec = spec;
         job.submit_at = self.now;
-        job.told = told;
+        job.known_state = told;
         job.cancel_asked = told == KnownState::Cancelled;
         job.cancel_at = job.cancel_asked.then_some(self.now);
         self.jobs.push(job);
--- a/tests/rules/world/user_answers.rs
+++ b/tests/rules/world/user_answers.rs
@@ -11,7 +11,7 @@
             return;
         }
         let job = &mut self.jobs[index];
-        if matches!(answer.status, 400 | 422) || (answer.status == 404 && job.told != KnownState::Nothing) {
+        if matches!(answer.status, 400 | 422) || (answer.status == 404 && job.known_state != KnownState::Nothing) {
             self.violations.push(format!(
                 "forgotten: {id} answered {} at {now} ({})",
                 answer.status, answer.body
@@ -30,13 +30,13 @@
         };
         // On its way already when the user was told otherwise: not an answer
         // given after that.
-        if given < job.told_at && told != job.told {
+        if given < job.told_at && told != job.known_state {
             return;
         }
         self.check_told(index, told);
         let job = &mut self.jobs[index];
-        if job.told != told {
-            job.told = told;
+        if job.known_state != told {
+            job.known_state = told;
             job.told_at = now;
         }
     }
@@ -56,10 +56,12 @@
     fn check_told(&mut self, index: usize, told: KnownState) {
         let (now, job) = (self.now, &self.jobs[index]);
         let id = &job.spec.id;
-        let ended = matches!(job.told, KnownState::Done | KnownState::Cancelled);
-        if (ended && told != job.told) || (told == KnownState::Cancelled && !job.cancel_asked) {
-            self.violations
-                .push(format!("went_back: {id} was {:?}, now {told:?} at {now}", job.told));
+        let ended = matches!(job.known_state, KnownState::Done | KnownState::Cancelled);
+        if (ended && told != job.known_state) || (told == KnownState::Cancelled && !job.cancel_asked) {
+            self.violations.push(format!(
+                "went_back: {id} was {:?}, now {told:?} at {now}",
+                job.known_state
+            ));
         }
         if told == KnownState::Done {
             let missing = (0..job.spec.tasks)
@@ -100,11 +102,11 @@
         let index = self.rng.random_range(0..self.jobs.len());
         let job = &self.jobs[index];
         let (kind, user_request) = match self.rng.random_range(0..4) {
-            0 if job.told != KnownState::Nothing => (
+            0 if job.known_state != KnownState::Nothing => (
                 RequestKind::Submit,
                 UserRequest::Submit(serde_json::to_string(&job.spec).expect("json")),
             ),
-            1 if job.told == KnownState::Done => (RequestKind::Cancel, UserRequest::Cancel(job.spec.id.clone())),
+            1 if job.known_state == KnownState::Done => (RequestKind::Cancel, UserRequest::Cancel(job.spec.id.clone())),
             2 => (
                 RequestKind::Invalid,
                 UserRequest::Submit(self.invalid_job().to_string()),
@@ -146,7 +148,7 @@
     /// For tests of the checks: the user was told so just now.
     pub fn tell(&mut self, index: usize, told: KnownState) {
         let (now, job) = (self.now, &mut self.jobs[index]);
-        job.told = told;
+        job.known_state = told;
         job.told_at = now;
         job.answered_at = now;
     }
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -28,7 +28,7 @@
     pub spec: JobSpec,
     pub submit_at: u64,
     pub cancel_at: Option<u64>,
-    pub told: KnownState,
+    pub known_state: KnownState,
     pub told_at: u64,
     /// When a question about it was last answered.
     pub(super) answered_at: u64,
@@ -65,7 +65,7 @@
             },
             submit_at,
             cancel_at: rng.random_bool(0.25).then(|| submit_at + rng.random_range(500..40_000)),
-            told: KnownState::Nothing,
+            known_state: KnownState::Nothing,
             told_at: 0,
             answered_at: 0,
             node: None,
@@ -152,11 +152,11 @@
     fn next_request_of_user(&mut self, index: usize) -> (RequestKind, UserRequest) {
         let job = &mut self.jobs[index];
         let id = job.spec.id.clone();
-        if job.told == KnownState::Nothing {
+        if job.known_state == KnownState::Nothing {
             let body = serde_json::to_string(&job.spec).expect("json");
             return (RequestKind::Submit, UserRequest::Submit(body));
         }
-        if job.told == KnownState::Accepted && job.cancel_at.is_some_and(|at| self.now >= at) {
+        if job.known_state == KnownState::Accepted && job.cancel_at.is_some_and(|at| self.now >= at) {
             job.cancel_asked = true;
             return (RequestKind::Cancel, UserRequest::Cancel(id));
         }
