--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -23,7 +23,7 @@
         if job.known_state == KnownState::Cancelled {
             self.starts_after_cancel += 1;
         }
-        if job.known_state == KnownState::Cancelled && now > job.told_at + CANCEL_DEADLINE_MS {
+        if job.known_state == KnownState::Cancelled && now > job.known_since + CANCEL_DEADLINE_MS {
             self.violations.push(format!("ran_cancelled: {task} started at {now}"));
         }
         let job = &mut self.jobs[index];
@@ -104,7 +104,7 @@
             let Some(job) = job.filter(|job| job.known_state == KnownState::Cancelled) else {
                 continue;
             };
-            let after = self.now - job.told_at;
+            let after = self.now - job.known_since;
             self.longest_cancelled = self.longest_cancelled.max(after);
             if after > CANCEL_DEADLINE_MS {
                 self.violations
--- a/tests/rules/world/user_answers.rs
+++ b/tests/rules/world/user_answers.rs
@@ -30,14 +30,14 @@
         };
         // On its way already when the user was told otherwise: not an answer
         // given after that.
-        if given < job.told_at && told != job.known_state {
+        if given < job.known_since && told != job.known_state {
             return;
         }
         self.check_told(index, told);
         let job = &mut self.jobs[index];
         if job.known_state != told {
             job.known_state = told;
-            job.told_at = now;
+            job.known_since = now;
         }
     }
 
@@ -149,7 +149,7 @@
     pub fn tell(&mut self, index: usize, told: KnownState) {
         let (now, job) = (self.now, &mut self.jobs[index]);
         job.known_state = told;
-        job.told_at = now;
+        job.known_since = now;
         job.answered_at = now;
     }
 
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -29,7 +29,7 @@
     pub submit_at: u64,
     pub cancel_at: Option<u64>,
     pub known_state: KnownState,
-    pub told_at: u64,
+    pub known_since: u64,
     /// When a question about it was last answered.
     pub(super) answered_at: u64,
     /// The controller that its user is connected to.
@@ -66,7 +66,7 @@
             submit_at,
             cancel_at: rng.random_bool(0.25).then(|| submit_at + rng.random_range(500..40_000)),
             known_state: KnownState::Nothing,
-            told_at: 0,
+            known_since: 0,
             answered_at: 0,
             node: None,
             first_start: None,
