--- a/tests/rules/rule_checks.rs
+++ b/tests/rules/rule_checks.rs
@@ -9,7 +9,7 @@
     let mut spec = World::plain_spec();
     spec.tasks = tasks;
     let job = world.submit(0, spec);
-    world.tell(job, KnownState::Accepted);
+    world.set_known_state(job, KnownState::Accepted);
     world.add_machine("host-0", "north");
     world.add_machine("host-1", "south");
     world
@@ -58,7 +58,7 @@
         if hangs {
             world.hang("host-0", 10 * CANCEL_DEADLINE_MS);
         }
-        world.tell(0, KnownState::Cancelled);
+        world.set_known_state(0, KnownState::Cancelled);
         world.now += CANCEL_DEADLINE_MS;
         world.check_cancelled();
         assert!(world.violations.is_empty());
@@ -72,7 +72,7 @@
 #[test]
 fn a_start_after_a_confirmed_cancellation_is_counted_and_a_late_one_reported() {
     let mut world = accepted(2);
-    world.tell(0, KnownState::Cancelled);
+    world.set_known_state(0, KnownState::Cancelled);
     world.begins("host-0", "j-000000/0");
     assert_eq!(world.starts_after_cancel, 1);
     assert!(world.violations.is_empty());
@@ -100,13 +100,13 @@
         world.faults_end_at = u64::MAX / 2;
         for _ in 0..2 {
             let other = world.submit(0, World::plain_spec());
-            world.tell(other, KnownState::Accepted);
+            world.set_known_state(other, KnownState::Accepted);
         }
         for _ in 0..92 {
             world.now += 1_000;
             if alone {
-                world.tell(1, KnownState::Accepted);
-                world.tell(2, KnownState::Accepted);
+                world.set_known_state(1, KnownState::Accepted);
+                world.set_known_state(2, KnownState::Accepted);
             }
             world.check_known();
         }
--- a/tests/rules/world/user_answers.rs
+++ b/tests/rules/world/user_answers.rs
@@ -146,7 +146,7 @@
     }
 
     /// For tests of the checks: the user was told so just now.
-    pub fn tell(&mut self, index: usize, told: KnownState) {
+    pub fn set_known_state(&mut self, index: usize, told: KnownState) {
         let (now, job) = (self.now, &mut self.jobs[index]);
         job.known_state = told;
         job.known_since = now;
