--- a/tests/rules/rule_checks.rs
+++ b/tests/rules/rule_checks.rs
@@ -185,7 +185,7 @@
     ] {
         let mut world = accepted(1);
         world.now += 10;
-        world.is_answered(0, kind, status, &body);
+        world.deliver_user_answer(0, kind, status, &body);
         assert!(violates(&world, rule), "{rule}: {:?}", world.violations);
     }
 }
--- a/tests/rules/world/user_answers.rs
+++ b/tests/rules/world/user_answers.rs
@@ -154,7 +154,7 @@
     }
 
     /// For tests of the checks: a controller answers so.
-    pub fn is_answered(&mut self, index: usize, kind: RequestKind, status: u16, body: &str) {
+    pub fn deliver_user_answer(&mut self, index: usize, kind: RequestKind, status: u16, body: &str) {
         let answer = Answer {
             status,
             body: body.into(),
