--- a/tests/rules/rule_checks.rs
+++ b/tests/rules/rule_checks.rs
@@ -22,9 +22,9 @@
 #[test]
 fn a_task_on_two_machines_is_reported() {
     let mut world = accepted(1);
-    world.begins("host-0", "j-000000/0");
+    world.start_task("host-0", "j-000000/0");
     assert!(world.violations.is_empty());
-    world.begins("host-1", "j-000000/0");
+    world.start_task("host-1", "j-000000/0");
     assert!(violates(&world, "ran_twice"));
 }
 
@@ -32,10 +32,10 @@
 fn a_team_beyond_its_limit_is_reported() {
     let mut world = accepted(25);
     for task in 0..24 {
-        world.begins("host-0", &format!("j-000000/{task}"));
+        world.start_task("host-0", &format!("j-000000/{task}"));
     }
     assert!(world.violations.is_empty());
-    world.begins("host-0", "j-000000/24");
+    world.start_task("host-0", "j-000000/24");
     assert!(violates(&world, "quota"));
 }
 
@@ -43,9 +43,9 @@
 fn a_task_in_a_zone_that_its_job_does_not_allow_is_reported() {
     let mut world = accepted(2);
     world.jobs[0].spec.one_zone = true;
-    world.begins("host-0", "j-000000/0");
+    world.start_task("host-0", "j-000000/0");
     assert!(world.violations.is_empty());
-    world.begins("host-1", "j-000000/1");
+    world.start_task("host-1", "j-000000/1");
     assert!(violates(&world, "wrong_place"));
 }
 
@@ -54,7 +54,7 @@
 fn a_cancelled_task_that_stays_is_reported() {
     for hangs in [false, true] {
         let mut world = accepted(1);
-        world.begins("host-0", "j-000000/0");
+        world.start_task("host-0", "j-000000/0");
         if hangs {
             world.hang("host-0", 10 * CANCEL_DEADLINE_MS);
         }
@@ -73,11 +73,11 @@
 fn a_start_after_a_confirmed_cancellation_is_counted_and_a_late_one_reported() {
     let mut world = accepted(2);
     world.set_known_state(0, KnownState::Cancelled);
-    world.begins("host-0", "j-000000/0");
+    world.start_task("host-0", "j-000000/0");
     assert_eq!(world.starts_after_cancel, 1);
     assert!(world.violations.is_empty());
     world.now += CANCEL_DEADLINE_MS + 1;
-    world.begins("host-0", "j-000000/1");
+    world.start_task("host-0", "j-000000/1");
     assert!(violates(&world, "ran_cancelled"));
 }
 
@@ -144,7 +144,7 @@
     world.check_largest();
     assert!(violates(&world, "late"));
     let mut world = accepted(9);
-    world.begins("host-0", "j-000000/0");
+    world.start_task("host-0", "j-000000/0");
     world.check_largest();
     assert!(world.violations.is_empty());
 }
--- a/tests/rules/world/machines.rs
+++ b/tests/rules/world/machines.rs
@@ -99,7 +99,7 @@
     }
 
     /// For tests of the checks: a task begins there.
-    pub fn begins(&mut self, machine: &str, task: &str) {
+    pub fn start_task(&mut self, machine: &str, task: &str) {
         self.started(machine, task);
     }
 }
