--- a/tests/rules/fleet_at_size.rs
+++ b/tests/rules/fleet_at_size.rs
@@ -31,7 +31,7 @@
     assert!(sent.store_writes < 80 * seconds, "{sent:?}");
     assert!(sent.store_requests < 200 * seconds, "{sent:?}");
     // Two thousand machines are written well below one key each.
-    assert!(world.stored("kept/pool/roster/") * 16 < machines);
+    assert!(world.count_stored_keys("kept/pool/roster/") * 16 < machines);
     assert!(sent.report_answers > 5 * machines, "{sent:?}");
     assert!(sent.leader_answers * 5 < sent.report_answers, "{sent:?}");
     // Twenty ticks a second, each peer with the leader, both ways, and heartbeats.
--- a/tests/rules/scheduling.rs
+++ b/tests/rules/scheduling.rs
@@ -17,12 +17,15 @@
         "only {} tasks done",
         world.done_tasks.len()
     );
-    assert!(world.stored("kept/pool/firing/") > 0);
+    assert!(world.count_stored_keys("kept/pool/firing/") > 0);
     world.run(300_000);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
     assert_eq!(world.jobs[0].known_state, KnownState::Cancelled);
-    assert_eq!(world.stored("kept/pool/firing/") + world.stored("live/pool/job/"), 0);
-    assert_eq!(world.stored("kept/pool/end/"), 1);
+    assert_eq!(
+        world.count_stored_keys("kept/pool/firing/") + world.count_stored_keys("live/pool/job/"),
+        0
+    );
+    assert_eq!(world.count_stored_keys("kept/pool/end/"), 1);
 }
 
 /// Guards against work that the order by priority would put off for ever, and
--- a/tests/rules/takeover_from_stored_state.rs
+++ b/tests/rules/takeover_from_stored_state.rs
@@ -129,14 +129,14 @@
 /// Jobs are cleaned up and keep their ends, and the claim goes on from the term.
 fn check_store(world: &mut World, seed: u64) {
     for prefix in ["live/pool/job/", "kept/pool/firing/", "kept/pool/hire/"] {
-        assert_eq!(world.stored(prefix), 0, "seed {seed}: {prefix}");
+        assert_eq!(world.count_stored_keys(prefix), 0, "seed {seed}: {prefix}");
     }
     let after = golden("store_after.txt");
     for (key, value) in &after {
         assert_eq!(world.read_stored(key).as_ref(), Some(value), "seed {seed}: {key}");
     }
     let ends = after.iter().filter(|(key, _)| key.starts_with("kept/pool/end/"));
-    assert_eq!(world.stored("kept/pool/end/"), ends.count(), "seed {seed}");
+    assert_eq!(world.count_stored_keys("kept/pool/end/"), ends.count(), "seed {seed}");
     let claim = world.read_stored("live/pool/owner").expect("a claim");
     let fields: Vec<&str> = claim
         .as_object()
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -161,7 +161,7 @@
     }
 
     /// Keys in the state service that begin so.
-    pub fn stored(&self, prefix: &str) -> usize {
+    pub fn count_stored_keys(&self, prefix: &str) -> usize {
         self.store.count(prefix)
     }
 
