--- a/tests/rules/single_faults.rs
+++ b/tests/rules/single_faults.rs
@@ -130,7 +130,7 @@
         .filter(|job| matches!(job.known_state, KnownState::Accepted))
         .count();
     assert_eq!(open, 0, "jobs wait for machines that are not reached");
-    assert_eq!(world.deaf_machines(), 0);
+    assert_eq!(world.machines_receiving_nothing(), 0);
 }
 
 #[test]
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -141,7 +141,7 @@
 
 impl World {
     /// Machines that no answer reaches, and that are still rented.
-    pub fn deaf_machines(&self) -> usize {
+    pub fn machines_receiving_nothing(&self) -> usize {
         let deaf = |worker: &&Worker| worker.up(self.now) && self.now < worker.receives_nothing_until;
         self.workers.values().filter(deaf).count()
     }
