--- a/tests/rules/fleet_at_size.rs
+++ b/tests/rules/fleet_at_size.rs
@@ -20,7 +20,7 @@
 /// controllers grow with time, not with reports.
 #[test]
 fn two_thousand_machines_cost_no_more_than_there_is_to_do() {
-    let mut world = World::at_size(8, 5, Vec::new());
+    let mut world = World::with_large_capacity(8, 5, Vec::new());
     submit_large(&mut world, 20, 300, 100);
     world.run(60_000);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
@@ -65,7 +65,7 @@
         ),
     ];
     faults.extend(crash(48_000).chain(crash(54_500)));
-    let mut world = World::at_size(11, 5, faults);
+    let mut world = World::with_large_capacity(11, 5, faults);
     submit_large(&mut world, 26, 300, 3_000);
     world.run(35_000);
     let machines = world.machines();
@@ -117,7 +117,7 @@
 /// ends that was longer than the workers' leases: no controller could hear them.
 #[test]
 fn an_outage_longer_than_the_leases_costs_no_machines() {
-    let mut world = World::at_size(12, 3, vec![(40_000, Fault::StoreOutage { ms: 60_000 })]);
+    let mut world = World::with_large_capacity(12, 3, vec![(40_000, Fault::StoreOutage { ms: 60_000 })]);
     submit_large(&mut world, 8, 3_000, 100);
     world.run(39_000);
     let before = world.machine_names();
--- a/tests/rules/world/setup.rs
+++ b/tests/rules/world/setup.rs
@@ -28,7 +28,7 @@
     }
 
     /// Room for some thousand machines, and teams that may use them.
-    pub fn at_size(seed: u64, nodes: usize, faults: Vec<(u64, Fault)>) -> World {
+    pub fn with_large_capacity(seed: u64, nodes: usize, faults: Vec<(u64, Fault)>) -> World {
         World::of_size(seed, nodes, 1_000, faults)
     }
 
