--- a/tests/rules/fleet_at_size.rs
+++ b/tests/rules/fleet_at_size.rs
@@ -93,7 +93,7 @@
         (66_000, Fault::Crash { node: LEADER }),
         (100_000, Fault::Crash { node: LEADER }),
     ];
-    let mut world = World::of_size(14, 5, 2_200, faults);
+    let mut world = World::with_machine_capacity(14, 5, 2_200, faults);
     world.run_times = 20;
     submit_large(&mut world, 18, 320, 200);
     world.run(59_000);
--- a/tests/rules/world/setup.rs
+++ b/tests/rules/world/setup.rs
@@ -29,11 +29,11 @@
 
     /// Room for some thousand machines, and teams that may use them.
     pub fn with_large_capacity(seed: u64, nodes: usize, faults: Vec<(u64, Fault)>) -> World {
-        World::of_size(seed, nodes, 1_000, faults)
+        World::with_machine_capacity(seed, nodes, 1_000, faults)
     }
 
     /// Room for so many machines of each zone and kind, of which there are four.
-    pub fn of_size(seed: u64, nodes: usize, capacity: usize, faults: Vec<(u64, Fault)>) -> World {
+    pub fn with_machine_capacity(seed: u64, nodes: usize, capacity: usize, faults: Vec<(u64, Fault)>) -> World {
         let mut world = World::new(seed, nodes, 0, faults);
         world.capacity = capacity;
         world.team_cpus = 20.0 * capacity as f64;
