--- a/tests/rules/mistaken_jobs_and_backfill.rs
+++ b/tests/rules/mistaken_jobs_and_backfill.rs
@@ -91,7 +91,7 @@
         };
         for index in 0..10 {
             let team = if index % 2 == 0 { "red" } else { "blue" };
-            world.submit_mistaken(5_000 + index * 700, 90_000, spec(team, 8));
+            world.submit_always_failing(5_000 + index * 700, 90_000, spec(team, 8));
         }
         let world = run_to_completion(world, seed, &faults);
         let cancelled = world
@@ -125,7 +125,7 @@
         let mut world = World::new(seed, nodes, 16, faults.clone());
         for _ in 0..rng.random_range(0..5) {
             let at = rng.random_range(2_000..60_000);
-            world.submit_mistaken(at, at + rng.random_range(1_000..80_000), urgent(6));
+            world.submit_always_failing(at, at + rng.random_range(1_000..80_000), urgent(6));
         }
         for _ in 0..rng.random_range(0..3) {
             let at = rng.random_range(2_000..60_000);
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -91,7 +91,7 @@
     }
 
     /// Adds a job that fails on every machine, and whose user cancels it later.
-    pub fn submit_mistaken(&mut self, submit_at: u64, cancel_at: u64, spec: JobSpec) -> usize {
+    pub fn submit_always_failing(&mut self, submit_at: u64, cancel_at: u64, spec: JobSpec) -> usize {
         let index = self.submit(submit_at, spec);
         self.jobs[index].cancel_at = Some(cancel_at);
         self.mistaken.insert(self.jobs[index].spec.id.clone());
