--- a/tests/rules/meetings/cancellations.rs
+++ b/tests/rules/meetings/cancellations.rs
@@ -75,7 +75,7 @@
         ]
     });
     // The watch cache's age, the lease of the claim, a take-over, a round of reports.
-    let longest = played.iter().map(|world| world.longest_cancelled).max();
+    let longest = played.iter().map(|world| world.longest_run_after_cancel_ms).max();
     assert!(
         longest.is_some_and(|ms| ms > 0 && ms < 5_000 + 4_000 + 2_000 + 4_000),
         "{longest:?}"
--- a/tests/rules/rule_checks.rs
+++ b/tests/rules/rule_checks.rs
@@ -65,7 +65,7 @@
         world.now += 1;
         world.check_cancelled();
         assert!(violates(&world, "ran_cancelled"));
-        assert_eq!(world.longest_cancelled, CANCEL_DEADLINE_MS + 1);
+        assert_eq!(world.longest_run_after_cancel_ms, CANCEL_DEADLINE_MS + 1);
     }
 }
 
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -105,7 +105,7 @@
                 continue;
             };
             let after = self.now - job.known_since;
-            self.longest_cancelled = self.longest_cancelled.max(after);
+            self.longest_run_after_cancel_ms = self.longest_run_after_cancel_ms.max(after);
             if after > CANCEL_DEADLINE_MS {
                 self.violations
                     .push(format!("ran_cancelled: {task} on {machines:?} at {}", self.now));
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -117,7 +117,7 @@
     /// Starts of jobs whose users had been told that they are cancelled.
     pub starts_after_cancel: u64,
     /// The longest that a task stayed on a machine after its user was told so.
-    pub longest_cancelled: u64,
+    pub longest_run_after_cancel_ms: u64,
     pub faults_end_at: u64,
     pub sent: Sent,
     /// Machines to be had of each zone and kind.
--- a/tests/rules/world/setup.rs
+++ b/tests/rules/world/setup.rs
@@ -67,7 +67,7 @@
             lost_tasks: 0,
             failures: 0,
             starts_after_cancel: 0,
-            longest_cancelled: 0,
+            longest_run_after_cancel_ms: 0,
             sent: Sent::default(),
             capacity: 4,
             run_times: 1,
