--- a/tests/rules/fleet_at_size.rs
+++ b/tests/rules/fleet_at_size.rs
@@ -94,7 +94,7 @@
         (100_000, Fault::Crash { node: LEADER }),
     ];
     let mut world = World::with_machine_capacity(14, 5, 2_200, faults);
-    world.run_times = 20;
+    world.run_time_factor = 20;
     submit_large(&mut world, 18, 320, 200);
     world.run(59_000);
     let machines = world.machines();
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -27,7 +27,7 @@
 
 /// To the end of all faults and well beyond: no rule broken, no job left over.
 fn run_to_completion(mut world: World, seed: u64, faults: &[(u64, Fault)]) -> World {
-    world.run(world.faults_end_at.max(100_000) + 200_000 * world.run_times.min(3));
+    world.run(world.faults_end_at.max(100_000) + 200_000 * world.run_time_factor.min(3));
     // A broken rule ends the run: what had not begun by then would be called late.
     assert_no_violations(&world, seed, faults);
     world.check_largest();
--- a/tests/rules/meetings/mod.rs
+++ b/tests/rules/meetings/mod.rs
@@ -16,25 +16,25 @@
 type Faults = Vec<(u64, Fault)>;
 
 /// Runs the faults that are drawn from each seed, with 3 to 7 controllers and tasks up to
-/// `run_times` times as long as usual.
-fn run_meeting(run_times: u64, faults: impl Fn(&mut StdRng) -> Faults) -> Vec<World> {
-    run_meeting_with_seeds(&[], run_times, faults)
+/// `run_time_factor` times as long as usual.
+fn run_meeting(run_time_factor: u64, faults: impl Fn(&mut StdRng) -> Faults) -> Vec<World> {
+    run_meeting_with_seeds(&[], run_time_factor, faults)
 }
 
 /// Also with the seeds that once found a defect.
-fn run_meeting_with_seeds(found: &[u64], run_times: u64, faults: impl Fn(&mut StdRng) -> Faults) -> Vec<World> {
+fn run_meeting_with_seeds(found: &[u64], run_time_factor: u64, faults: impl Fn(&mut StdRng) -> Faults) -> Vec<World> {
     let played = seeds(found).into_iter();
     played
-        .map(|seed| run_meeting_of_seed(seed, run_times, &faults))
+        .map(|seed| run_meeting_of_seed(seed, run_time_factor, &faults))
         .collect()
 }
 
-fn run_meeting_of_seed(seed: u64, run_times: u64, faults: impl Fn(&mut StdRng) -> Faults) -> World {
+fn run_meeting_of_seed(seed: u64, run_time_factor: u64, faults: impl Fn(&mut StdRng) -> Faults) -> World {
     let mut rng = StdRng::seed_from_u64(7_000 + seed);
     let faults = faults(&mut rng);
     let nodes = [3, 5, 7][seed as usize % 3];
     let mut world = World::new(seed, nodes, 24, faults.clone());
-    world.run_times = if seed.is_multiple_of(2) { run_times } else { 1 };
+    world.run_time_factor = if seed.is_multiple_of(2) { run_time_factor } else { 1 };
     run_to_completion(world, seed, &faults)
 }
 
--- a/tests/rules/meetings/state_service_outages.rs
+++ b/tests/rules/meetings/state_service_outages.rs
@@ -139,7 +139,7 @@
     for seed in seeds(&[]) {
         let outage = vec![(45_000, Fault::StoreOutage { ms: 60_000 })];
         let mut world = World::new(seed, 5, 24, outage);
-        world.run_times = 12;
+        world.run_time_factor = 12;
         // Past what was being stopped for others when it began.
         world.run(49_000);
         let before = world.lost_tasks;
--- a/tests/rules/meetings/unreachable_machines.rs
+++ b/tests/rules/meetings/unreachable_machines.rs
@@ -118,7 +118,7 @@
             .collect();
         faults.push((rng.random_range(30_000..80_000), Fault::Crash { node: LEADER }));
         let mut world = World::new(seed, 3, 8, faults.clone());
-        world.run_times = 3;
+        world.run_time_factor = 3;
         for index in 0..10 {
             let mut spec = World::plain_spec();
             spec.team = if index % 2 == 0 { "red" } else { "blue" }.into();
--- a/tests/rules/mistaken_jobs_and_backfill.rs
+++ b/tests/rules/mistaken_jobs_and_backfill.rs
@@ -50,7 +50,7 @@
     ] {
         let mut world = World::new(seed, 3, 0, faults);
         // Tasks run for up to five minutes, and each machine holds one or two.
-        world.run_times = 30;
+        world.run_time_factor = 30;
         for _ in 0..3 {
             world.submit(2_000, backfill(40));
         }
--- a/tests/rules/world/machines.rs
+++ b/tests/rules/world/machines.rs
@@ -14,7 +14,7 @@
     }
 
     pub(super) fn run_ms(&self) -> impl Fn(&str) -> u64 + use<> {
-        let (times, mistaken) = (self.run_times, self.mistaken.clone());
+        let (times, mistaken) = (self.run_time_factor, self.mistaken.clone());
         move |task: &str| {
             let job = task.split('/').next().unwrap_or(task);
             if mistaken.contains(job) {
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -123,7 +123,7 @@
     /// Machines to be had of each zone and kind.
     capacity: usize,
     /// How many times longer than usual tasks run.
-    pub run_times: u64,
+    pub run_time_factor: u64,
     team_cpus: f64,
 }
 
--- a/tests/rules/world/setup.rs
+++ b/tests/rules/world/setup.rs
@@ -70,7 +70,7 @@
             longest_run_after_cancel_ms: 0,
             sent: Sent::default(),
             capacity: 4,
-            run_times: 1,
+            run_time_factor: 1,
             team_cpus: TEAM_CPUS,
             faults_end_at: 0,
         }
