--- a/tests/rules/rule_checks.rs
+++ b/tests/rules/rule_checks.rs
@@ -85,10 +85,10 @@
 fn a_job_of_which_nothing_is_said_is_reported() {
     let mut world = accepted(1);
     world.now += 75_000;
-    world.check_known();
+    world.check_users_answered();
     assert!(world.violations.is_empty());
     world.now += 1;
-    world.check_known();
+    world.check_users_answered();
     assert!(violates(&world, "forgotten"));
 }
 
@@ -108,7 +108,7 @@
                 world.set_known_state(1, KnownState::Accepted);
                 world.set_known_state(2, KnownState::Accepted);
             }
-            world.check_known();
+            world.check_users_answered();
         }
         assert_eq!(violates(&world, "forgotten"), alone, "{:?}", world.violations);
     }
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -74,7 +74,7 @@
 
     /// Once faults are over, no accepted job goes 75 s without an answer, and
     /// at no time one 90 s while most others get theirs.
-    pub fn check_known(&mut self) {
+    pub fn check_users_answered(&mut self) {
         let now = self.now;
         let known = self.jobs.iter().filter(|job| job.known_state != KnownState::Nothing);
         // By the protocol users ask until the end; what has ended is answered
--- a/tests/rules/world/heartbeat_reports.rs
+++ b/tests/rules/world/heartbeat_reports.rs
@@ -14,7 +14,7 @@
         if self.now % 1_000 < 100 {
             self.check_health();
         }
-        self.check_known();
+        self.check_users_answered();
         self.check_waiting();
         self.send_invalid_requests();
         if self.now >= self.ongoing.store_out_until && self.ongoing.store_out_until > 0 {
