--- a/tests/rules/rule_checks.rs
+++ b/tests/rules/rule_checks.rs
@@ -118,12 +118,12 @@
 fn a_job_that_waits_beside_room_is_reported() {
     let mut world = accepted(2);
     world.now += 1_000;
-    world.check_waiting();
+    world.check_starvation();
     world.now += 90_000;
-    world.check_waiting();
+    world.check_starvation();
     assert!(world.violations.is_empty());
     world.now += 1;
-    world.check_waiting();
+    world.check_starvation();
     assert!(violates(&world, "waiting"));
     // Not where the team is at its limit, or nothing fits.
     for (cpus, zone) in [(25.0, None), (1.0, Some("east".to_string()))] {
@@ -132,7 +132,7 @@
         world.jobs[0].spec.zone = zone;
         for _ in 0..3 {
             world.now += 91_000;
-            world.check_waiting();
+            world.check_starvation();
         }
         assert!(world.violations.is_empty(), "{:?}", world.violations);
     }
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -116,7 +116,7 @@
     /// Once faults are over, no job with tasks to start waits for 90 s, without a
     /// start of any, while a machine that fits has room and its team is under its
     /// limit.
-    pub fn check_waiting(&mut self) {
+    pub fn check_starvation(&mut self) {
         for index in 0..self.jobs.len() {
             let job = &self.jobs[index];
             let waits = job.known_state == KnownState::Accepted
--- a/tests/rules/world/heartbeat_reports.rs
+++ b/tests/rules/world/heartbeat_reports.rs
@@ -15,7 +15,7 @@
             self.check_health();
         }
         self.check_users_answered();
-        self.check_waiting();
+        self.check_starvation();
         self.send_invalid_requests();
         if self.now >= self.ongoing.store_out_until && self.ongoing.store_out_until > 0 {
             self.ongoing.store_out_until = 0;
