--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -30,7 +30,7 @@
     world.run(world.faults_end_at.max(100_000) + 200_000 * world.run_time_factor.min(3));
     // A broken rule ends the run: what had not begun by then would be called late.
     assert_no_violations(&world, seed, faults);
-    world.check_largest();
+    world.check_largest_jobs();
     assert_no_violations(&world, seed, faults);
     let open: Vec<_> = world
         .jobs
--- a/tests/rules/rule_checks.rs
+++ b/tests/rules/rule_checks.rs
@@ -141,11 +141,11 @@
 #[test]
 fn a_largest_job_that_begins_late_is_reported() {
     let mut world = accepted(9);
-    world.check_largest();
+    world.check_largest_jobs();
     assert!(violates(&world, "late"));
     let mut world = accepted(9);
     world.start_task("host-0", "j-000000/0");
-    world.check_largest();
+    world.check_largest_jobs();
     assert!(world.violations.is_empty());
 }
 
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -195,7 +195,7 @@
     }
 
     /// The largest jobs have to begin within four minutes, faults aside.
-    pub fn check_largest(&mut self) {
+    pub fn check_largest_jobs(&mut self) {
         for team in ["red", "blue"] {
             let of_team = self
                 .jobs
