--- a/tests/rules/meetings/cancellations.rs
+++ b/tests/rules/meetings/cancellations.rs
@@ -15,7 +15,7 @@
         let mut faults = vec![(at, Fault::CutFromAllButWorkers { node: LEADER, ms })];
         for _ in 0..3 {
             let hang_ms = pick(rng, &[0, 9_000, LEASE_MS]);
-            faults.push((at + rng.random_range(0..12_000), Fault::CancelNow { hang_ms }));
+            faults.push((at + rng.random_range(0..12_000), Fault::CancelRunningJobs { hang_ms }));
         }
         faults.push((at + ms, Fault::CutFromAllButWorkers { node: LEADER, ms }));
         faults
@@ -67,11 +67,14 @@
             (at, Fault::ReadsLost { node: LEADER, ms }),
             (
                 at + 500,
-                Fault::CancelNow {
+                Fault::CancelRunningJobs {
                     hang_ms: pick(rng, &[0, 10_000]),
                 },
             ),
-            (at + rng.random_range(1_000..20_000), Fault::CancelNow { hang_ms: 0 }),
+            (
+                at + rng.random_range(1_000..20_000),
+                Fault::CancelRunningJobs { hang_ms: 0 },
+            ),
         ]
     });
     // The watch cache's age, the lease of the claim, a take-over, a round of reports.
--- a/tests/rules/meetings/leader_changes.rs
+++ b/tests/rules/meetings/leader_changes.rs
@@ -58,7 +58,7 @@
             (at - 1_000, Fault::DelayedTransactions { ms: 2_000 }),
             (
                 at - 600,
-                Fault::CancelNow {
+                Fault::CancelRunningJobs {
                     hang_ms: pick(rng, &[0, 15_000]),
                 },
             ),
@@ -130,7 +130,10 @@
             (at, Fault::MachineHangs { ms }),
             (at, Fault::MachineReachesNoController { ms }),
             (at + 500, Fault::Crash { node: LEADER }),
-            (at + rng.random_range(500..8_000), Fault::CancelNow { hang_ms: 0 }),
+            (
+                at + rng.random_range(500..8_000),
+                Fault::CancelRunningJobs { hang_ms: 0 },
+            ),
             (at + ms / 2, Fault::ZoneCut { ms }),
             (at + ms / 2 + 300, Fault::Crash { node: LEADER }),
         ]
--- a/tests/rules/meetings/random_faults.rs
+++ b/tests/rules/meetings/random_faults.rs
@@ -33,7 +33,7 @@
         5 => Fault::MachineReachesNoController { ms },
         6 => Fault::MachineHangs { ms },
         7 => Fault::DelayedCommands { ms },
-        8 | 9 => Fault::CancelNow { hang_ms: ms / 2 },
+        8 | 9 => Fault::CancelRunningJobs { hang_ms: ms / 2 },
         10 => Fault::CancelAtEnd { ms },
         11 => Fault::AllControllersDown { ms },
         12 => Fault::SouthIsolated { ms },
--- a/tests/rules/meetings/state_service_outages.rs
+++ b/tests/rules/meetings/state_service_outages.rs
@@ -30,7 +30,7 @@
             ),
             (
                 at + rng.random_range(0..starts - at),
-                Fault::CancelNow {
+                Fault::CancelRunningJobs {
                     hang_ms: pick(rng, &[0, 0, 12_000, LEASE_MS]),
                 },
             ),
@@ -66,7 +66,7 @@
             ));
             faults.push((
                 at + 300,
-                Fault::CancelNow {
+                Fault::CancelRunningJobs {
                     hang_ms: pick(rng, &[0, 10_000]),
                 },
             ));
@@ -87,7 +87,7 @@
             (at, Fault::StoreSlow { ms: 40_000 }),
             (
                 at + 2_000,
-                Fault::CancelNow {
+                Fault::CancelRunningJobs {
                     hang_ms: pick(rng, &[0, 15_000]),
                 },
             ),
@@ -98,7 +98,7 @@
                     ms: rng.random_range(1_000..20_000),
                 },
             ),
-            (at + 9_200, Fault::CancelNow { hang_ms: 0 }),
+            (at + 9_200, Fault::CancelRunningJobs { hang_ms: 0 }),
             (
                 at + rng.random_range(10_000..14_000),
                 Fault::StoreOutage {
@@ -124,7 +124,7 @@
                     0 => Fault::QuickRestart { node },
                     1 => Fault::StoreRefuses { node, ms: 6_000 },
                     2 => Fault::MachineReclaimed,
-                    _ => Fault::CancelNow { hang_ms: 0 },
+                    _ => Fault::CancelRunningJobs { hang_ms: 0 },
                 },
             ));
         }
@@ -162,7 +162,7 @@
             (at, Fault::StoreRefuses { node: LEADER, ms }),
             (
                 at + 200,
-                Fault::CancelNow {
+                Fault::CancelRunningJobs {
                     hang_ms: pick(rng, &[0, 12_000]),
                 },
             ),
--- a/tests/rules/meetings/unreachable_machines.rs
+++ b/tests/rules/meetings/unreachable_machines.rs
@@ -13,7 +13,7 @@
         let ms = rng.random_range(LEASE_MS / 2..3 * LEASE_MS);
         let mut faults = vec![
             (at, Fault::SouthIsolated { ms }),
-            (at + rng.random_range(0..9_000), Fault::CancelNow { hang_ms: 0 }),
+            (at + rng.random_range(0..9_000), Fault::CancelRunningJobs { hang_ms: 0 }),
         ];
         match rng.random_range(0..3) {
             0 => faults.push((at + 5_000, Fault::Crash { node: LEADER })),
@@ -69,7 +69,7 @@
         let ms = rng.random_range(2_000..LEASE_MS);
         faults.push((at, Fault::MachineHangs { ms }));
         if step % 3 == 0 {
-            faults.push((at + 1_000, Fault::CancelNow { hang_ms: ms }));
+            faults.push((at + 1_000, Fault::CancelRunningJobs { hang_ms: ms }));
         }
         if step % 4 == 1 {
             faults.push((at + 500, Fault::Crash { node: LEADER }));
@@ -91,7 +91,10 @@
                 Fault::MachineReachesNoController { ms },
             ));
         }
-        faults.push((rng.random_range(25_000..70_000), Fault::CancelNow { hang_ms: 0 }));
+        faults.push((
+            rng.random_range(25_000..70_000),
+            Fault::CancelRunningJobs { hang_ms: 0 },
+        ));
         faults.push((rng.random_range(25_000..70_000), Fault::Crash { node: LEADER }));
         faults
     });
--- a/tests/rules/world/fault.rs
+++ b/tests/rules/world/fault.rs
@@ -93,7 +93,7 @@
         ms: u64,
     },
     /// Users cancel all running jobs at once; the machines of some hang then.
-    CancelNow {
+    CancelRunningJobs {
         hang_ms: u64,
     },
     /// Half of the jobs that end are cancelled at the moment of their end.
@@ -151,7 +151,7 @@
             // The last of them is up, or given up, by then.
             Fault::SlowBoots { ms } => ms + 40_000,
             Fault::DelayedTransactions { ms } | Fault::DelayedCommands { ms } => ms + 12_000,
-            Fault::CancelNow { hang_ms } => *hang_ms,
+            Fault::CancelRunningJobs { hang_ms } => *hang_ms,
             _ => 5_000,
         }
     }
--- a/tests/rules/world/fault_injection.rs
+++ b/tests/rules/world/fault_injection.rs
@@ -36,7 +36,7 @@
                 let south = self.workers.values_mut().filter(|worker| worker.zone == "south");
                 south.for_each(|worker| worker.cut_until = until);
             }
-            Fault::CancelNow { hang_ms } => self.cancel_now(hang_ms),
+            Fault::CancelRunningJobs { hang_ms } => self.cancel_now(hang_ms),
             _ => self.inject_service_fault(fault),
         }
     }
