--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -70,7 +70,7 @@
         9 => Fault::DelayedDuplicateReports { ms },
         10 => Fault::CutFromAllButWorkers { node, ms },
         11 | 12 => Fault::QuickRestart { node },
-        13 => Fault::PeersRefuse { ms },
+        13 => Fault::PeerMessagesDropped { ms },
         14 => Fault::StoreSlow { ms },
         15 | 16 => Fault::Freeze { node, ms },
         17 => Fault::ZoneCut { ms: ms * 2 },
--- a/tests/rules/meetings/state_service_outages.rs
+++ b/tests/rules/meetings/state_service_outages.rs
@@ -173,7 +173,7 @@
                     0 => Fault::QuickRestart { node: other },
                     1 => Fault::CutFromPeers { node: other, ms },
                     2 => Fault::Freeze { node: other, ms: 9_000 },
-                    _ => Fault::PeersRefuse { ms: 8_000 },
+                    _ => Fault::PeerMessagesDropped { ms: 8_000 },
                 },
             ),
             (
--- a/tests/rules/world/fault.rs
+++ b/tests/rules/world/fault.rs
@@ -58,7 +58,7 @@
         node: usize,
         ms: u64,
     },
-    PeersRefuse {
+    PeerMessagesDropped {
         ms: u64,
     },
     /// Refused by the state service alone; its open watches wait.
@@ -137,7 +137,7 @@
             | Fault::ZoneCut { ms }
             | Fault::MachineReceivesNothing { ms }
             | Fault::DelayedDuplicateReports { ms }
-            | Fault::PeersRefuse { ms }
+            | Fault::PeerMessagesDropped { ms }
             | Fault::StoreRefuses { ms, .. }
             | Fault::ReadsLost { ms, .. }
             | Fault::AllMachinesFailTasks { ms }
--- a/tests/rules/world/fault_injection.rs
+++ b/tests/rules/world/fault_injection.rs
@@ -50,7 +50,7 @@
             Fault::DelayedTransactions { ms } => self.ongoing.late_writes_until = now + ms,
             Fault::CloudOutage { ms } => self.ongoing.cloud_out_until = now + ms,
             Fault::SlowBoots { ms } => self.ongoing.slow_boots_until = now + ms,
-            Fault::PeersRefuse { ms } => self.ongoing.peers_refuse_until = now + ms,
+            Fault::PeerMessagesDropped { ms } => self.ongoing.peers_refuse_until = now + ms,
             Fault::SouthIsolated { ms } => self.ongoing.south_isolated_until = now + ms,
             Fault::DelayedDuplicateReports { ms } => self.ongoing.late_copies_until = now + ms,
             Fault::DelayedCommands { ms } => self.ongoing.held_commands_until = now + ms,
