--- a/tests/rules/takeover_from_stored_state.rs
+++ b/tests/rules/takeover_from_stored_state.rs
@@ -121,7 +121,11 @@
         let (done, cancelled) = (KnownState::Done, KnownState::Cancelled);
         assert_eq!(told, [done, done, done, cancelled, done, done, done], "seed {seed}");
         // The machine request that was written and never answered was asked for again.
-        assert!(world.rented_as("pool-41-7").is_some_and(|names| names.len() == 2));
+        assert!(
+            world
+                .machines_of_request("pool-41-7")
+                .is_some_and(|names| names.len() == 2)
+        );
         check_store(&mut world, seed);
     }
 }
--- a/tests/rules/world/stored.rs
+++ b/tests/rules/world/stored.rs
@@ -86,7 +86,7 @@
     }
 
     /// The machines that a request was answered with.
-    pub fn rented_as(&self, request: &str) -> Option<&Vec<String>> {
+    pub fn machines_of_request(&self, request: &str) -> Option<&Vec<String>> {
         self.rented.get(request)
     }
 }
