--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -1,9 +1,10 @@
-//! The rules of the protocol and the checks at each day's end.
+//! The rules of the protocol, checked on each task start and at each step of simulated time.
 
 use super::*;
 
 impl World {
-    pub(super) fn started(&mut self, machine: &str, task: &str) {
+    /// Records that a task starts on a machine and checks the rules on task starts.
+    pub(super) fn record_task_start(&mut self, machine: &str, task: &str) {
         self.starts += 1;
         let now = self.now;
         let on = self.task_machines.entry(task.into()).or_default();
@@ -12,13 +13,13 @@
                 .push(format!("ran_twice: {task} on {machine} and {on:?} at {now}"));
         }
         on.insert(machine.into());
-        let Some(index) = self.job_of(task) else {
-            self.violations.push(format!("a task of no job: {task}"));
+        let Some(index) = self.job_index_of_task(task) else {
+            self.violations.push(format!("unknown_job: {task} belongs to no job"));
             return;
         };
         let job = &self.jobs[index];
-        self.failures += u64::from(self.mistaken.contains(&job.spec.id));
-        self.check_place(index, machine, task);
+        self.failures += u64::from(self.always_failing_jobs.contains(&job.spec.id));
+        self.check_placement(index, machine, task);
         let job = &self.jobs[index];
         if job.known_state == KnownState::Cancelled {
             self.starts_after_cancel += 1;
@@ -28,12 +29,15 @@
         }
         let job = &mut self.jobs[index];
         job.first_start.get_or_insert(now);
-        job.waits_since = None;
+        job.starved_since = None;
         self.check_quota();
     }
 
-    /// A task starts only where its job allows it.
-    fn check_place(&mut self, index: usize, machine: &str, task: &str) {
+    /// Checks that a task starts only in a zone and on a kind of machine that its job allows.
+    ///
+    /// Covers the wanted zone, spot machines, jobs limited to one zone, and jobs spread over
+    /// zones.
+    fn check_placement(&mut self, index: usize, machine: &str, task: &str) {
         let (now, job) = (self.now, &self.jobs[index]);
         let worker = &self.workers[machine];
         let spec = &job.spec;
@@ -53,7 +57,7 @@
         }
     }
 
-    /// No team uses more than its limit.
+    /// Checks that no team uses more CPUs than its limit.
     fn check_quota(&mut self) {
         let now = self.now;
         for team in ["red", "blue"] {
@@ -62,45 +66,52 @@
                 .iter()
                 .filter(|(_, machines)| !machines.is_empty())
                 .filter_map(|(task, machines)| {
-                    let spec = &self.jobs[self.job_of(task)?].spec;
+                    let spec = &self.jobs[self.job_index_of_task(task)?].spec;
                     (spec.team == team).then_some(spec.cpus * machines.len() as f64)
                 })
                 .sum();
             if used > self.team_cpus + 1e-6 {
-                self.violations.push(format!("quota: {team} uses {used} at {now}"));
+                self.violations.push(format!("quota: {team} uses {used} CPUs at {now}"));
             }
         }
     }
 
-    /// Once faults are over, no accepted job goes 75 s without an answer, and
-    /// at no time one 90 s while most others get theirs.
+    /// Checks that users get answers about accepted jobs.
+    ///
+    /// Once faults are over, no accepted job goes 75 s without an answer. At any time, no
+    /// accepted job goes 90 s without an answer while most others get theirs.
     pub fn check_users_answered(&mut self) {
         let now = self.now;
-        let known = self.jobs.iter().filter(|job| job.known_state != KnownState::Nothing);
-        // By the protocol users ask until the end; what has ended is answered
-        // without the state service, and would pass for most others in an outage.
-        let asking = known.clone().filter(|job| job.known_state == KnownState::Accepted);
-        let heard = asking.clone().filter(|job| now < job.answered_at + 10_000).count();
-        let most = heard * 2 > asking.count();
-        // An outage that all share singles out nobody, nor does its end.
-        let since = *self.most_heard_since.get_or_insert(now);
-        if !most {
-            self.most_heard_since = None;
+        let known = self
+            .jobs
+            .iter()
+            .filter(|job| job.known_state != KnownState::NotAccepted);
+        // Only jobs that are still open count. Users poll a job until it ends, and a job that
+        // has ended is answered without the state service: during an outage, such answers
+        // would make it look as if most jobs were answered.
+        let open = known.clone().filter(|job| job.known_state == KnownState::Accepted);
+        let answered = open.clone().filter(|job| now < job.last_answered_at + 10_000).count();
+        let most_answered = answered * 2 > open.count();
+        // An outage that affects all jobs singles out none, and neither does the time just
+        // after it: the 90 s start when most jobs are answered again.
+        let since = *self.most_answered_since.get_or_insert(now);
+        if !most_answered {
+            self.most_answered_since = None;
         }
         for job in known {
-            let singled_out = most && now > job.answered_at.max(since) + 90_000;
-            if singled_out || now > job.answered_at.max(self.faults_end_at) + KNOWN_MS {
+            let singled_out = most_answered && now > job.last_answered_at.max(since) + 90_000;
+            if singled_out || now > job.last_answered_at.max(self.faults_end_at) + MAX_UNANSWERED_MS {
                 self.violations
-                    .push(format!("forgotten: nothing said of {} at {now}", job.spec.id));
+                    .push(format!("forgotten: no answer about {} by {now}", job.spec.id));
             }
         }
     }
 
-    /// Nothing of a cancelled job is on a machine beyond `cancel_s`, also where
-    /// it hangs or can't be reached.
+    /// Checks that no task of a cancelled job is on a machine for longer than `cancel_s` after
+    /// the confirmed cancellation, even if the machine hangs or is unreachable.
     pub fn check_cancelled(&mut self) {
         for (task, machines) in self.task_machines.iter().filter(|(_, machines)| !machines.is_empty()) {
-            let job = self.job_of(task).map(|index| &self.jobs[index]);
+            let job = self.job_index_of_task(task).map(|index| &self.jobs[index]);
             let Some(job) = job.filter(|job| job.known_state == KnownState::Cancelled) else {
                 continue;
             };
@@ -113,23 +124,24 @@
         }
     }
 
-    /// Once faults are over, no job with tasks to start waits for 90 s, without a
-    /// start of any, while a machine that fits has room and its team is under its
-    /// limit.
+    /// Checks that no job starves.
+    ///
+    /// Once faults are over, no job with tasks left to start waits 90 s without a task start
+    /// while a suitable machine has room for a task and the team is below its limit.
     pub fn check_starvation(&mut self) {
         for index in 0..self.jobs.len() {
             let job = &self.jobs[index];
-            let waits = job.known_state == KnownState::Accepted
+            let starved = job.known_state == KnownState::Accepted
                 && job.cancel_at.is_none_or(|at| self.now < at)
                 && self.now > self.faults_end_at
-                && self.waits_beside_room(job);
+                && self.is_starved(job);
             let job = &mut self.jobs[index];
-            if !waits {
-                job.waits_since = None;
+            if !starved {
+                job.starved_since = None;
                 continue;
             }
-            let since = *job.waits_since.get_or_insert(self.now);
-            if self.now > since + WAITING_MS {
+            let since = *job.starved_since.get_or_insert(self.now);
+            if self.now > since + MAX_STARVATION_MS {
                 let id = job.spec.id.clone();
                 self.violations
                     .push(format!("waiting: {id} since {since}, at {}", self.now));
@@ -137,18 +149,20 @@
         }
     }
 
-    fn waits_beside_room(&self, job: &UserJob) -> bool {
+    /// Whether a task of the job could start now: the job has tasks left to start, its team is
+    /// below its limit, and a healthy machine that the job allows has enough free CPUs.
+    fn is_starved(&self, job: &UserJob) -> bool {
         let spec = &job.spec;
-        let mut placed: BTreeMap<&str, u32> = BTreeMap::new();
-        let mut held = 0;
-        for worker in self.workers.values().filter(|worker| worker.up(self.now)) {
-            let of_job = worker.tasks.iter().filter(|(task, running)| {
-                running.state != TaskState::Exited && task.split('/').next() == Some(spec.id.as_str())
+        let mut tasks_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
+        let mut on_machines = 0;
+        for worker in self.workers.values().filter(|worker| worker.is_up(self.now)) {
+            let of_job = worker.tasks.iter().filter(|(task, worker_task)| {
+                worker_task.state != TaskState::Exited && task.split('/').next() == Some(spec.id.as_str())
             });
             let count = of_job.count() as u32;
             if count > 0 {
-                *placed.entry(worker.zone.as_str()).or_default() += count;
-                held += count;
+                *tasks_by_zone.entry(worker.zone.as_str()).or_default() += count;
+                on_machines += count;
             }
         }
         let prefix = format!("{}/", spec.id);
@@ -156,45 +170,46 @@
             .done_tasks
             .range(prefix.clone()..)
             .take_while(|task| task.starts_with(&prefix));
-        if done.count() as u32 + held >= spec.tasks {
+        if done.count() as u32 + on_machines >= spec.tasks {
             return false;
         }
-        if self.used_by(&spec.team) + spec.cpus > self.team_cpus + 1e-6 {
+        if self.cpus_used_by_team(&spec.team) + spec.cpus > self.team_cpus + 1e-6 {
             return false;
         }
         self.workers.values().any(|worker| {
             let zone = worker.zone.as_str();
-            let there = placed.get(zone).copied().unwrap_or(0);
-            worker.well(self.now)
+            let in_zone = tasks_by_zone.get(zone).copied().unwrap_or(0);
+            worker.is_healthy(self.now)
                 && spec.zone.as_ref().is_none_or(|wanted| wanted == zone)
                 && (spec.spot || !worker.spot)
-                && (!spec.one_zone || placed.keys().all(|&other| other == zone))
-                && (!spec.spread || there < spec.tasks.div_ceil(2))
+                && (!spec.one_zone || tasks_by_zone.keys().all(|&other| other == zone))
+                && (!spec.spread || in_zone < spec.tasks.div_ceil(2))
                 && self.free_cpus(worker) >= spec.cpus
         })
     }
 
-    /// What the tasks on a machine, fetching ones included, leave of it.
+    /// Returns the CPUs of a machine that its tasks, including those still fetching, leave free.
     fn free_cpus(&self, worker: &Worker) -> f64 {
-        let all = if worker.machine_type == "small" { 4.0 } else { 8.0 };
+        let total = if worker.machine_type == "small" { 4.0 } else { 8.0 };
         let open = worker
             .tasks
             .iter()
-            .filter(|(_, running)| running.state != TaskState::Exited);
-        let used = open.filter_map(|(task, _)| Some(self.jobs[self.job_of(task)?].spec.cpus));
-        all - used.sum::<f64>()
+            .filter(|(_, worker_task)| worker_task.state != TaskState::Exited);
+        let used = open.filter_map(|(task, _)| Some(self.jobs[self.job_index_of_task(task)?].spec.cpus));
+        total - used.sum::<f64>()
     }
 
-    /// What a team's tasks take, fetching ones included.
-    fn used_by(&self, team: &str) -> f64 {
-        let workers = self.workers.values().filter(|worker| worker.up(self.now));
+    /// Returns the CPUs that a team's tasks use, including tasks still fetching.
+    fn cpus_used_by_team(&self, team: &str) -> f64 {
+        let workers = self.workers.values().filter(|worker| worker.is_up(self.now));
         let tasks = workers.flat_map(|worker| worker.tasks.iter());
-        let open = tasks.filter(|(_, running)| running.state != TaskState::Exited);
-        let specs = open.filter_map(|(task, _)| Some(&self.jobs[self.job_of(task)?].spec));
+        let open = tasks.filter(|(_, worker_task)| worker_task.state != TaskState::Exited);
+        let specs = open.filter_map(|(task, _)| Some(&self.jobs[self.job_index_of_task(task)?].spec));
         specs.filter(|spec| spec.team == team).map(|spec| spec.cpus).sum()
     }
 
-    /// The largest jobs have to begin within four minutes, faults aside.
+    /// Checks that the largest job of each team starts within four minutes after its submission
+    /// or, if that is later, after the end of all faults. Jobs that are cancelled don't count.
     pub fn check_largest_jobs(&mut self) {
         for team in ["red", "blue"] {
             let of_team = self
@@ -205,17 +220,18 @@
                 continue;
             };
             let from = largest.submit_at.max(self.faults_end_at);
-            if largest.first_start.is_none_or(|at| at > from + LARGEST_MS) {
+            if largest.first_start.is_none_or(|at| at > from + LARGEST_JOB_START_MS) {
                 let id = &largest.spec.id;
                 self.violations.push(format!(
-                    "late: {id}, the largest of {team}, began at {:?}",
+                    "late: {id}, the largest job of {team}, started at {:?}",
                     largest.first_start
                 ));
             }
         }
     }
 
-    pub(super) fn job_of(&self, task: &str) -> Option<usize> {
+    /// Returns the index of the job that a task belongs to, if there is one.
+    pub(super) fn job_index_of_task(&self, task: &str) -> Option<usize> {
         let id = task.split('/').next()?;
         let index: usize = id.strip_prefix("j-")?.parse().ok()?;
         self.jobs
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -1,10 +1,11 @@
-//! A simulated cloud: its catalogue, machine requests and list of machines.
+//! A simulated cloud: its catalogue, its machine requests and its list of machines.
 
 use super::*;
 
-/// Machines in one page of the list.
+/// The maximum number of machines in one page of the list.
 const LIST_LIMIT: usize = 500;
 
+/// Returns the machine types that the cloud offers.
 pub(super) fn catalogue() -> Catalogue {
     let machine_type = |name: &str, cpus: f64| MachineType {
         name: name.into(),
@@ -24,7 +25,16 @@
 }
 
 impl World {
-    pub(super) fn new_worker(&mut self, name: &str, machine_type: &str, zone: &str, spot: bool, boot: u64) -> Worker {
+    /// Returns the worker of a new machine that boots in `boot_ms` and reports to a random
+    /// controller.
+    pub(super) fn new_worker(
+        &mut self,
+        name: &str,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+        boot_ms: u64,
+    ) -> Worker {
         let node = match self.nodes.len() {
             0 => 0,
             nodes => self.rng.random_range(0..nodes),
@@ -35,8 +45,8 @@
             zone: zone.into(),
             spot,
             requested_at: self.now,
-            up_at: self.now + boot,
-            gone: false,
+            up_at: self.now + boot_ms,
+            terminated: false,
             cut_until: 0,
             receives_nothing_until: 0,
             reaches_no_controller_until: 0,
@@ -45,17 +55,18 @@
             agent_epoch: 1,
             seq: 0,
             fencing_token: 0,
-            lease_from: self.now + boot,
+            lease_start: self.now + boot_ms,
             spot_reclaim_at: None,
             node,
-            report_out: None,
-            next_report: self.now + boot,
+            report_in_flight: None,
+            next_report: self.now + boot_ms,
             tasks: BTreeMap::new(),
         }
     }
 
-    pub(super) fn cloud_call(&mut self, request: &CloudRequest) -> CloudReply {
-        if self.now < self.ongoing.cloud_out_until {
+    /// Executes one request to the cloud and returns its reply.
+    pub(super) fn handle_cloud_request(&mut self, request: &CloudRequest) -> CloudReply {
+        if self.now < self.ongoing.cloud_outage_until {
             return CloudReply::Unavailable;
         }
         match request {
@@ -63,7 +74,7 @@
             CloudRequest::RequestMachines(machine_request) => self.rent(machine_request),
             CloudRequest::Delete(names) => {
                 for name in &names.machines {
-                    self.machine_gone(name);
+                    self.terminate_machine(name);
                 }
                 CloudReply::Deleted
             }
@@ -71,18 +82,20 @@
         }
     }
 
+    /// Rents as many of the requested machines as the cloud has; a repeated request gets the
+    /// machines of the first one.
     fn rent(&mut self, machine_request: &MachineRequest) -> CloudReply {
-        if let Some(names) = self.rented.get(&machine_request.request) {
+        if let Some(names) = self.machines_by_request.get(&machine_request.request) {
             return CloudReply::Provisioned(MachineNames {
                 machines: names.clone(),
             });
         }
-        let there = self
+        let in_use = self
             .workers
             .values()
-            .filter(|w| !w.gone && w.zone == machine_request.zone && w.spot == machine_request.spot)
+            .filter(|w| !w.terminated && w.zone == machine_request.zone && w.spot == machine_request.spot)
             .count();
-        let count = (machine_request.count as usize).min(self.capacity.saturating_sub(there));
+        let count = (machine_request.count as usize).min(self.capacity.saturating_sub(in_use));
         if count == 0 {
             return CloudReply::NoCapacity;
         }
@@ -90,38 +103,40 @@
         for _ in 0..count {
             let name = format!("host-{:06}", self.next_machine);
             self.next_machine += 1;
-            let boot = self.draw_boot_ms();
+            let boot_ms = self.draw_boot_ms();
             let worker = self.new_worker(
                 &name,
                 &machine_request.machine_type,
                 &machine_request.zone,
                 machine_request.spot,
-                boot,
+                boot_ms,
             );
             self.workers.insert(name.clone(), worker);
             names.push(name);
         }
-        self.rented.insert(machine_request.request.clone(), names.clone());
+        self.machines_by_request
+            .insert(machine_request.request.clone(), names.clone());
         CloudReply::Provisioned(MachineNames { machines: names })
     }
 
-    /// How long a machine takes to boot; some never come up.
+    /// Draws the boot time of a machine; some machines never come up during a run.
     fn draw_boot_ms(&mut self) -> u64 {
-        let late = self.now < self.ongoing.slow_boots_until;
-        if self.rng.random_bool(if late { 0.3 } else { 0.05 }) {
+        let slow = self.now < self.ongoing.slow_boots_until;
+        if self.rng.random_bool(if slow { 0.3 } else { 0.05 }) {
             10_000_000
-        } else if late {
+        } else if slow {
             self.rng.random_range(8_000..40_000)
         } else {
             self.rng.random_range(500..8_000)
         }
     }
 
+    /// Returns one page of the machines that are not terminated, by name, after `after`.
     fn list_machines(&self, after: &str) -> CloudReply {
         let listed = self
             .workers
             .values()
-            .filter(|w| !w.gone && *w.name > *after)
+            .filter(|w| !w.terminated && *w.name > *after)
             .map(|w| ListedMachine {
                 id: w.name.clone(),
                 address: Some(w.name.clone()),
--- a/tests/rules/world/direct_commands.rs
+++ b/tests/rules/world/direct_commands.rs
@@ -1,30 +1,34 @@
-//! Direct commands from controllers to workers, delivered, delayed or lost.
+//! The delivery, delay and loss of direct commands from controllers to workers.
 
 use super::*;
 
-/// After so long without an answer, a controller takes a direct command for lost.
+/// How long a controller waits for the answer to direct commands.
 const COMMAND_TIMEOUT_MS: u64 = 2_500;
 
 impl World {
+    /// Sends direct commands to a worker.
+    ///
+    /// If the worker is unreachable or the request is lost, the controller gets no answer and
+    /// the commands arrive late.
     pub(super) fn send_to_worker(&mut self, caller: Caller, machine: String, commands: DirectCommands) {
         self.sent.direct_commands += 1;
-        let delay = self.delay();
+        let delay = self.draw_network_delay_ms();
         let cut = self
             .workers
             .get(&machine)
             .map_or(0, Worker::unreachable_until)
             .max(self.nodes[caller.node].worker_cut_until)
-            .max(self.apart_from(caller.node, &machine));
-        let held = self.now < cut;
-        if !held && self.now < self.ongoing.held_commands_until && self.rng.random_bool(0.5) {
-            self.hold_command(caller, machine, commands);
+            .max(self.partitioned_from_machine_until(caller.node, &machine));
+        let unreachable = self.now < cut;
+        if !unreachable && self.now < self.ongoing.delayed_commands_until && self.rng.random_bool(0.5) {
+            self.delay_commands(caller, machine, commands);
             return;
         }
-        let lost = held || self.rng.random_bool(0.02);
-        let late = if lost {
+        let lost = unreachable || self.rng.random_bool(0.02);
+        let arrival_delay = if lost {
             self.give_worker_reply(caller, COMMAND_TIMEOUT_MS, WorkerReply::Unanswered);
-            // Delivered late, perhaps minutes after its time.
-            let after_cut = if held { cut - self.now } else { 0 };
+            // Delivered late, possibly minutes after the timeout.
+            let after_cut = if unreachable { cut - self.now } else { 0 };
             after_cut + self.rng.random_range(0..20_000)
         } else {
             delay
@@ -35,13 +39,14 @@
             commands,
             reply: !lost,
         };
-        self.at(self.now + late, arrival);
+        self.schedule(self.now + arrival_delay, arrival);
     }
 
-    /// The command is carried out at once or late, and nobody hears of it in time.
-    fn hold_command(&mut self, caller: Caller, machine: String, commands: DirectCommands) {
+    /// Delivers direct commands at once or seconds late, while their answer is lost: the
+    /// controller sees a timeout in either case.
+    fn delay_commands(&mut self, caller: Caller, machine: String, commands: DirectCommands) {
         self.give_worker_reply(caller, COMMAND_TIMEOUT_MS, WorkerReply::Unanswered);
-        let late = if self.rng.random_bool(0.5) {
+        let arrival_delay = if self.rng.random_bool(0.5) {
             5
         } else {
             self.rng.random_range(1_000..9_000)
@@ -52,10 +57,10 @@
             commands,
             reply: false,
         };
-        self.at(self.now + late, arrival);
+        self.schedule(self.now + arrival_delay, arrival);
     }
 
-    /// Delivers the reply of a worker to the run of the controller that made the call.
+    /// Schedules the reply of a worker for the run of the controller that made the call.
     pub(super) fn give_worker_reply(&mut self, caller: Caller, after_ms: u64, reply: WorkerReply) {
         let Caller {
             node,
@@ -63,7 +68,7 @@
             call,
         } = caller;
         let input = Input::Worker { call, reply };
-        self.at(
+        self.schedule(
             self.now + after_ms,
             ScheduledEvent::Input {
                 node,
--- a/tests/rules/world/event_dispatch.rs
+++ b/tests/rules/world/event_dispatch.rs
@@ -1,78 +1,81 @@
-//! What is due happens: ticks, arrivals, requests of users, faults and restarts.
+//! The dispatch of due events to controllers, services, workers and users.
 
 use super::*;
 
 impl World {
+    /// Executes a due event, or postpones it if it is an input of a frozen controller.
     pub(super) fn dispatch(&mut self, event: ScheduledEvent) {
         if let ScheduledEvent::Tick(node)
         | ScheduledEvent::Input { node, .. }
         | ScheduledEvent::ReportArrives { node, .. } = &event
-            && self.stands_still(*node)
+            && self.defers_input(*node)
         {
-            // The tick first: it was due all the time.
-            let late = u64::from(!matches!(event, ScheduledEvent::Tick(_)));
-            let thaw = self.nodes[*node].frozen_until;
-            self.at(thaw + late, event);
+            // The tick comes first, as it was due during the whole freeze; other inputs follow
+            // 1 ms later.
+            let after_tick = u64::from(!matches!(event, ScheduledEvent::Tick(_)));
+            let resume_at = self.nodes[*node].frozen_until;
+            self.schedule(resume_at + after_tick, event);
             return;
         }
         match event {
             ScheduledEvent::Tick(_)
             | ScheduledEvent::Input { .. }
-            | ScheduledEvent::Thawed { .. }
+            | ScheduledEvent::DelayedOutput { .. }
             | ScheduledEvent::ReportArrives { .. }
             | ScheduledEvent::Restart(_) => self.dispatch_to_controller(event),
-            ScheduledEvent::Store { caller, request, reply } => self.store_call(caller, request, reply),
+            ScheduledEvent::Store { caller, request, reply } => self.handle_store_request(caller, request, reply),
             ScheduledEvent::Cloud { .. } | ScheduledEvent::Direct { .. } => self.dispatch_to_service(event),
-            ScheduledEvent::ReportAnswered { machine, id, answer } => self.report_answered(&machine, id, &answer),
+            ScheduledEvent::ReportAnswered { machine, id, answer } => self.handle_report_answer(&machine, id, &answer),
             ScheduledEvent::ClusterStep => {
                 self.step_cluster();
-                self.at(self.now + 100, ScheduledEvent::ClusterStep);
+                self.schedule(self.now + 100, ScheduledEvent::ClusterStep);
             }
-            ScheduledEvent::User(_) | ScheduledEvent::UserNow(_) | ScheduledEvent::UserAnswered { .. } => {
+            ScheduledEvent::UserTurn(_) | ScheduledEvent::ExtraUserRequest(_) | ScheduledEvent::UserAnswered { .. } => {
                 self.dispatch_to_user(event);
             }
             ScheduledEvent::Fault(fault) => self.inject_fault(fault),
         }
     }
 
+    /// Executes an event of a controller. Events for an earlier run of it are dropped.
     fn dispatch_to_controller(&mut self, event: ScheduledEvent) {
         match event {
-            ScheduledEvent::Thawed {
+            ScheduledEvent::DelayedOutput {
                 node,
                 incarnation,
                 output,
             } if self.nodes[node].incarnation == incarnation => {
-                self.output(node, incarnation, output);
+                self.send_output(node, incarnation, output);
             }
             ScheduledEvent::Tick(node) if self.nodes[node].controller.is_some() => {
-                self.step(node, Input::Tick);
-                self.at(self.now + 50, ScheduledEvent::Tick(node));
+                self.step_controller(node, Input::Tick);
+                self.schedule(self.now + 50, ScheduledEvent::Tick(node));
             }
             ScheduledEvent::Input {
                 node,
                 incarnation,
                 input,
-            } if self.nodes[node].incarnation == incarnation => self.step(node, input),
+            } if self.nodes[node].incarnation == incarnation => self.step_controller(node, input),
             ScheduledEvent::ReportArrives {
                 node,
                 machine,
                 report,
                 id,
             } if self.nodes[node].controller.is_some() => {
-                let request = self.expect(node, Waiting::Report { machine, id });
-                self.step(node, Input::Report { request, report });
+                let request = self.register_request(node, PendingRequest::Report { machine, id });
+                self.step_controller(node, Input::Report { request, report });
             }
             ScheduledEvent::Restart(node) => self.restart(node),
-            // The run of the controller that it was meant for has ended.
+            // The controller is down, or the event was meant for an earlier run of it.
             _ => {}
         }
     }
 
-    /// A call reaches the cloud or a worker, which answers unless the answer is lost.
+    /// Delivers a call to the cloud or a worker, and its reply unless that is lost.
     fn dispatch_to_service(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::Cloud { caller, request, reply } => {
-                let answer = self.cloud_call(&request);
+                let answer = self.handle_cloud_request(&request);
                 if reply {
                     self.give_cloud_reply(caller, 20, answer);
                 }
@@ -83,9 +86,9 @@
                 commands,
                 reply,
             } => {
-                let answer = self.direct(&machine, &commands);
+                let answer = self.deliver_direct_commands(&machine, &commands);
                 if reply {
-                    let delay = self.delay();
+                    let delay = self.draw_network_delay_ms();
                     self.give_worker_reply(caller, delay, answer);
                 }
             }
@@ -93,19 +96,20 @@
         }
     }
 
+    /// Executes an event of a user; a turn schedules the next one 2.5 s later.
     fn dispatch_to_user(&mut self, event: ScheduledEvent) {
         match event {
-            ScheduledEvent::User(job) => {
-                self.at(self.now + 2_500, ScheduledEvent::User(job));
-                self.user(job);
+            ScheduledEvent::UserTurn(job) => {
+                self.schedule(self.now + 2_500, ScheduledEvent::UserTurn(job));
+                self.send_user_request(job);
             }
-            ScheduledEvent::UserNow(job) => self.user(job),
+            ScheduledEvent::ExtraUserRequest(job) => self.send_user_request(job),
             ScheduledEvent::UserAnswered {
                 job,
                 kind,
-                given,
+                sent_at,
                 answer,
-            } => self.user_answered(job, kind, given, &answer),
+            } => self.handle_user_answer(job, kind, sent_at, &answer),
             _ => {}
         }
     }
--- a/tests/rules/world/fault_injection.rs
+++ b/tests/rules/world/fault_injection.rs
@@ -1,8 +1,9 @@
-//! How each fault is injected.
+//! The injection of each fault.
 
 use super::*;
 
 impl World {
+    /// Injects a fault now.
     pub(super) fn inject_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Crash { node }
@@ -36,42 +37,43 @@
                 let south = self.workers.values_mut().filter(|worker| worker.zone == "south");
                 south.for_each(|worker| worker.cut_until = until);
             }
-            Fault::CancelRunningJobs { hang_ms } => self.cancel_now(hang_ms),
+            Fault::CancelRunningJobs { hang_ms } => self.cancel_running_jobs(hang_ms),
             _ => self.inject_service_fault(fault),
         }
     }
 
-    /// Of a service, the network or the users, for a while.
+    /// Injects a fault of a service, the network or the users.
     fn inject_service_fault(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
-            Fault::StoreOutage { ms } => self.ongoing.store_out_until = now + ms,
+            Fault::StoreOutage { ms } => self.ongoing.store_outage_until = now + ms,
             Fault::StoreSlow { ms } => self.ongoing.store_slow_until = now + ms,
-            Fault::DelayedTransactions { ms } => self.ongoing.late_writes_until = now + ms,
-            Fault::CloudOutage { ms } => self.ongoing.cloud_out_until = now + ms,
+            Fault::DelayedTransactions { ms } => self.ongoing.delayed_transactions_until = now + ms,
+            Fault::CloudOutage { ms } => self.ongoing.cloud_outage_until = now + ms,
             Fault::SlowBoots { ms } => self.ongoing.slow_boots_until = now + ms,
-            Fault::PeerMessagesDropped { ms } => self.ongoing.peers_refuse_until = now + ms,
+            Fault::PeerMessagesDropped { ms } => self.ongoing.peer_messages_dropped_until = now + ms,
             Fault::SouthIsolated { ms } => self.ongoing.south_isolated_until = now + ms,
-            Fault::DelayedDuplicateReports { ms } => self.ongoing.late_copies_until = now + ms,
-            Fault::DelayedCommands { ms } => self.ongoing.held_commands_until = now + ms,
+            Fault::DelayedDuplicateReports { ms } => self.ongoing.duplicate_reports_until = now + ms,
+            Fault::DelayedCommands { ms } => self.ongoing.delayed_commands_until = now + ms,
             Fault::CancelAtEnd { ms } => self.ongoing.cancel_at_end_until = now + ms,
             Fault::InvalidRequests { ms } => self.ongoing.invalid_requests_until = now + ms,
-            other => unreachable!("{other:?} is of a controller or of machines"),
+            other => unreachable!("{other:?} is not a fault of a service, the network or the users"),
         }
     }
 
+    /// Injects a fault of one controller; see [`Fault`] for the meaning of `node`.
     fn inject_controller_fault(&mut self, node: usize, fault: Fault) {
-        let (index, now) = (self.pick_node(node), self.now);
+        let (index, now) = (self.resolve_node(node), self.now);
         let node = &mut self.nodes[index];
         match fault {
             Fault::Crash { .. } => self.crash(index, 4_000),
             Fault::QuickRestart { .. } => {
-                let pause = self.rng.random_range(50..900);
-                self.crash(index, pause);
+                let downtime_ms = self.rng.random_range(50..900);
+                self.crash(index, downtime_ms);
             }
             Fault::Freeze { ms, .. } => {
                 node.frozen_until = now + ms;
-                node.last_inputs = 3;
+                node.inputs_before_freeze = 3;
             }
             Fault::CutFromStore { ms, .. } => node.store_cut_until = now + ms,
             Fault::CutFromPeers { ms, .. } => node.peer_cut_until = now + ms,
@@ -80,16 +82,16 @@
                 node.store_cut_until = now + ms;
                 node.peer_cut_until = now + ms;
             }
-            Fault::StoreRefuses { ms, .. } => node.refused_until = now + ms,
-            Fault::ReadsLost { ms, .. } => node.reads_lost_until = now + ms,
-            other => unreachable!("{other:?} is not of a controller"),
+            Fault::StoreRefuses { ms, .. } => node.store_refuses_until = now + ms,
+            Fault::ReadsLost { ms, .. } => node.store_reads_lost_until = now + ms,
+            other => unreachable!("{other:?} is not a fault of a controller"),
         }
     }
 
-    /// Of a machine drawn from those that are up.
+    /// Injects a fault of one random machine that is up, if there is one.
     fn inject_machine_fault(&mut self, fault: Fault) {
         let now = self.now;
-        let Some(worker) = self.pick_worker() else {
+        let Some(worker) = self.draw_worker() else {
             return;
         };
         match fault {
@@ -104,15 +106,16 @@
             Fault::MachineFailsTasks => worker.fails_tasks_until = u64::MAX,
             Fault::AgentRestarts => {
                 let (name, mut effects) = (worker.name.clone(), Vec::new());
-                worker.next_session(now, &mut effects);
-                self.take_effects(&name, effects);
+                worker.begin_epoch(now, &mut effects);
+                self.apply_effects(&name, effects);
             }
-            other => unreachable!("{other:?} is not of a machine"),
+            other => unreachable!("{other:?} is not a fault of a machine"),
         }
     }
 
-    /// The leader, when one is named that is out of range.
-    pub(super) fn pick_node(&self, node: usize) -> usize {
+    /// Returns `node`, or the leader if `node` is out of range, or controller 0 if there is no
+    /// leader.
+    pub(super) fn resolve_node(&self, node: usize) -> usize {
         if node < self.nodes.len() {
             node
         } else {
@@ -120,47 +123,53 @@
         }
     }
 
-    pub(super) fn crash(&mut self, node: usize, pause: u64) {
+    /// Ends a controller and schedules its restart.
+    pub(super) fn crash(&mut self, node: usize, downtime_ms: u64) {
         self.nodes[node].controller = None;
         self.nodes[node].incarnation = 0;
         self.nodes[node].frozen_until = 0;
         self.nodes[node].healthy = false;
-        self.at(self.now + pause, ScheduledEvent::Restart(node));
+        self.schedule(self.now + downtime_ms, ScheduledEvent::Restart(node));
     }
 
-    pub(super) fn pick_worker(&mut self) -> Option<&mut Worker> {
+    /// Draws one of the workers that are up.
+    pub(super) fn draw_worker(&mut self) -> Option<&mut Worker> {
         let up: Vec<String> = self
             .workers
             .values()
-            .filter(|w| w.up(self.now))
+            .filter(|w| w.is_up(self.now))
             .map(|w| w.name.clone())
             .collect();
         if up.is_empty() {
             return None;
         }
-        let pick = self.rng.random_range(0..up.len());
-        self.workers.get_mut(&up[pick])
+        let index = self.rng.random_range(0..up.len());
+        self.workers.get_mut(&up[index])
     }
 
-    /// A machine that hangs goes on within its lease, or not at all.
+    /// Makes a machine hang for `ms`, but no longer than until its lease expires.
+    ///
+    /// Its tasks end later by the time that it hangs. A machine that hangs already or whose
+    /// lease has expired is left as it is.
     pub fn hang(&mut self, name: &str, ms: u64) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(name) {
-            let until = (now + ms).min(worker.lease_from + LEASE_MS);
+            let until = (now + ms).min(worker.lease_start + LEASE_MS);
             if until > now && now >= worker.hung_until {
                 worker.hung_until = until;
-                for running in worker.tasks.values_mut() {
-                    running.until += until - now;
+                for worker_task in worker.tasks.values_mut() {
+                    worker_task.until += until - now;
                 }
             }
         }
     }
 
-    /// All running jobs are cancelled; up to eight jobs' machines hang meanwhile.
-    fn cancel_now(&mut self, hang_ms: u64) {
-        let mut hangs = BTreeSet::new();
+    /// Makes the users of all running jobs cancel them within 200 ms. Up to eight machines, each
+    /// running a task of one of these jobs, hang for `hang_ms` meanwhile.
+    fn cancel_running_jobs(&mut self, hang_ms: u64) {
+        let mut hanging = BTreeSet::new();
         for (task, machines) in &self.task_machines {
-            let Some(index) = self.job_of(task) else {
+            let Some(index) = self.job_index_of_task(task) else {
                 continue;
             };
             let job = &mut self.jobs[index];
@@ -169,18 +178,18 @@
                 && !machines.is_empty()
             {
                 job.cancel_at = Some(self.now);
-                if hangs.len() < 8 {
-                    hangs.extend(machines.iter().cloned());
+                if hanging.len() < 8 {
+                    hanging.extend(machines.iter().cloned());
                 }
             }
         }
         for index in 0..self.jobs.len() {
             if self.jobs[index].cancel_at == Some(self.now) {
                 let at = self.now + self.rng.random_range(0..200);
-                self.at(at, ScheduledEvent::UserNow(index));
+                self.schedule(at, ScheduledEvent::ExtraUserRequest(index));
             }
         }
-        for name in hangs.into_iter().filter(|_| hang_ms > 0) {
+        for name in hanging.into_iter().filter(|_| hang_ms > 0) {
             self.hang(&name, hang_ms);
         }
     }
--- a/tests/rules/world/heartbeat_reports.rs
+++ b/tests/rules/world/heartbeat_reports.rs
@@ -1,15 +1,17 @@
-//! Time passes for the machines, and their heartbeat reports go out.
+//! The steps of simulated time, and the heartbeat reports that workers send.
 
 use super::*;
 
-/// After so long without an answer, a worker takes its report for lost.
+/// How long a worker waits for the answer to a report.
 const REPORT_TIMEOUT_MS: u64 = 4_000;
+/// How often a worker reports.
 const REPORT_INTERVAL_MS: u64 = 3_000;
-/// How long a worker waits before it tries the next controller.
+/// How long a worker waits before it reports to the next controller.
 const RETRY_MS: u64 = 1_000;
 
 impl World {
-    /// A step of simulated time: health checks, the rules, the state service and the workers.
+    /// Executes a step of simulated time: health checks, the rules, the state service and the
+    /// workers.
     pub(super) fn step_cluster(&mut self) {
         if self.now % 1_000 < 100 {
             self.check_health();
@@ -17,13 +19,13 @@
         self.check_users_answered();
         self.check_starvation();
         self.send_invalid_requests();
-        if self.now >= self.ongoing.store_out_until && self.ongoing.store_out_until > 0 {
-            self.ongoing.store_out_until = 0;
+        if self.now >= self.ongoing.store_outage_until && self.ongoing.store_outage_until > 0 {
+            self.ongoing.store_outage_until = 0;
             self.store.refresh_leases(self.now);
         }
-        if self.ongoing.store_out_until == 0 {
-            self.store.expire(self.now);
-            self.serve_watches();
+        if self.ongoing.store_outage_until == 0 {
+            self.store.expire_leases(self.now);
+            self.answer_watches();
         }
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for name in names {
@@ -32,25 +34,28 @@
         self.check_cancelled();
     }
 
-    /// The load balancer asks each controller that it reaches for its health.
+    /// Sends the load balancer's health check to each controller; one that is isolated or
+    /// frozen is unhealthy.
     fn check_health(&mut self) {
         for node in 0..self.nodes.len() {
-            if self.now < self.alone_until(node).max(self.nodes[node].frozen_until) {
+            if self.now < self.isolated_until(node).max(self.nodes[node].frozen_until) {
                 self.nodes[node].healthy = false;
                 continue;
             }
-            let request = self.expect(node, Waiting::Health);
-            self.step(node, Input::Health { request });
+            let request = self.register_request(node, PendingRequest::Health);
+            self.step_controller(node, Input::Health { request });
         }
     }
 
+    /// Advances a worker that is up and doesn't hang: reclaims its machine, expires its lease,
+    /// ends its tasks, times out its report and sends the next one, as each falls due.
     fn advance_worker(&mut self, name: String) {
         let (now, nodes) = (self.now, self.nodes.len());
-        let Some(worker) = self.workers.get_mut(&name).filter(|worker| worker.up(now)) else {
+        let Some(worker) = self.workers.get_mut(&name).filter(|worker| worker.is_up(now)) else {
             return;
         };
         if worker.spot_reclaim_at.is_some_and(|at| now >= at) {
-            self.machine_gone(&name);
+            self.terminate_machine(&name);
             return;
         }
         if now < worker.hung_until {
@@ -59,58 +64,63 @@
         let mut effects = Vec::new();
         worker.advance(now, LEASE_MS, &mut effects);
         if worker
-            .report_out
+            .report_in_flight
             .is_some_and(|(_, sent)| now >= sent + REPORT_TIMEOUT_MS)
         {
-            worker.report_out = None;
+            worker.report_in_flight = None;
             worker.try_next_controller(now, nodes);
         }
         let report = self.due_report(&name);
-        self.take_effects(&name, effects);
+        self.apply_effects(&name, effects);
         if let Some((id, report)) = report {
             self.send_report(name, id, report);
         }
     }
 
-    /// The report that a worker sends now, and its number.
+    /// Returns the report that a worker sends now, if one is due, and its id.
     fn due_report(&mut self, name: &str) -> Option<(u64, Box<Report>)> {
         let (now, nodes) = (self.now, self.nodes.len());
         let worker = self.workers.get_mut(name)?;
-        if worker.report_out.is_some() || now < worker.next_report {
+        if worker.report_in_flight.is_some() || now < worker.next_report {
             return None;
         }
         self.next_report += 1;
         let id = self.next_report;
         if now < worker.reaches_no_controller_until {
-            // Refused at once: it tries the next controller.
+            // The connection is refused at once, so the worker tries the next controller.
             worker.try_next_controller(now, nodes);
             return None;
         }
-        worker.report_out = Some((id, now));
+        worker.report_in_flight = Some((id, now));
         worker.next_report = now + REPORT_INTERVAL_MS;
-        Some((id, Box::new(worker.report())))
+        Some((id, Box::new(worker.build_report())))
     }
 
+    /// Sends a report, possibly late or with a duplicate that arrives much later.
     fn send_report(&mut self, machine: String, id: u64, report: Box<Report>) {
         let (now, worker) = (self.now, &self.workers[&machine]);
         let (node, south) = (worker.node, worker.zone == "south");
         let cut = worker
             .cut_until
             .max(self.nodes[node].worker_cut_until)
-            .max(self.apart(node, south));
-        // Reports may be held back and arrive late.
-        let delay = if now < cut { cut - now + 500 } else { self.delay() };
-        if now < self.ongoing.late_copies_until && self.rng.random_bool(0.3) {
+            .max(self.partitioned_until(node, south));
+        // During a partition, reports are held back and arrive after its end.
+        let delay = if now < cut {
+            cut - now + 500
+        } else {
+            self.draw_network_delay_ms()
+        };
+        if now < self.ongoing.duplicate_reports_until && self.rng.random_bool(0.3) {
             let node = self.rng.random_range(0..self.nodes.len());
             let late = self.rng.random_range(1_000..90_000);
-            // Nobody waits for its answer.
+            // No worker waits for the answer to a report with id 0.
             let copy = ScheduledEvent::ReportArrives {
                 node,
                 machine: machine.clone(),
                 report: report.clone(),
                 id: 0,
             };
-            self.at(now + late, copy);
+            self.schedule(now + late, copy);
         }
         let arrival = ScheduledEvent::ReportArrives {
             node,
@@ -118,12 +128,12 @@
             report,
             id,
         };
-        self.at(now + delay, arrival);
+        self.schedule(now + delay, arrival);
     }
 }
 
 impl Worker {
-    /// Its next report goes to the next controller, after a pause.
+    /// Directs the next report to the next controller, after `RETRY_MS`.
     pub fn try_next_controller(&mut self, now: u64, nodes: usize) {
         self.node = (self.node + 1) % nodes;
         self.next_report = now + RETRY_MS;
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -1,6 +1,11 @@
-//! A simulated world for the controllers: the state service, the
-//! cloud, workers and users, a network that delays, loses and holds back, and
-//! seeded faults. The rules of the protocol are checked at every change.
+//! A simulated cluster that runs the real controllers against a simulated state service,
+//! cloud, workers, users and network.
+//!
+//! The network delays, loses and holds back messages, and tests inject further faults. All
+//! random choices come from one generator that the test seeds, so a run can be repeated.
+//! The rules of the protocol are checked on every task start, every answer to a user and
+//! every step of simulated time; broken rules are collected in [`World::violations`].
+//! Unless another unit is given, times are milliseconds of simulated time.
 
 mod checks;
 mod cloud;
@@ -23,7 +28,7 @@
 pub use fault::Fault;
 pub use users::{KnownState, RequestKind, UserJob};
 
-use scheduled_event::{Caller, ScheduledEvent, Waiting};
+use scheduled_event::{Caller, PendingRequest, ScheduledEvent};
 use state_service::OpenWatch;
 
 use rand::rngs::StdRng;
@@ -40,138 +45,186 @@
 use sumacbend::wire::*;
 use worker::{Effect, Worker};
 
+/// How long a worker's lease lasts after the send time of its last acknowledged report.
 pub const LEASE_MS: u64 = 20_000;
+/// How long after a confirmed cancellation tasks of the job may still be on machines.
 pub const CANCEL_DEADLINE_MS: u64 = 40_000;
-/// The controller in the south.
+/// The controller that [`Fault::SouthIsolated`] cuts off together with the zone `south`.
 const SOUTH_NODE: usize = 1;
-const KNOWN_MS: u64 = 75_000;
-const WAITING_MS: u64 = 90_000;
-const LARGEST_MS: u64 = 240_000;
+/// How long an accepted job may go without an answer to its user once all faults are over.
+const MAX_UNANSWERED_MS: u64 = 75_000;
+/// How long a job may wait while a machine has room for one of its tasks.
+const MAX_STARVATION_MS: u64 = 90_000;
+/// How long the largest job of a team may take to start its first task.
+const LARGEST_JOB_START_MS: u64 = 240_000;
+/// The default CPU limit of each team.
 const TEAM_CPUS: f64 = 24.0;
 
+/// A controller process, its clock and its faults.
 struct Node {
+    /// `None` while the process is down.
     controller: Option<Controller>,
+    /// Identifies one run of the process; 0 while it is down.
     incarnation: u64,
     name: String,
+    /// Milliseconds added to its monotonic clock, so that the clocks of controllers differ.
     clock_offset: u64,
+    /// Speed of its monotonic clock relative to simulated time.
     clock_rate: f64,
     store_cut_until: u64,
     peer_cut_until: u64,
     worker_cut_until: u64,
-    refused_until: u64,
-    reads_lost_until: u64,
+    /// Until when the state service answers its requests with 503.
+    store_refuses_until: u64,
+    /// Until when its reads of the state service get no answer.
+    store_reads_lost_until: u64,
     frozen_until: u64,
-    /// Inputs that it still takes before it freezes.
-    last_inputs: u32,
-    /// What its last health check said, as the load balancer sees it.
+    /// Inputs that it still processes before the freeze takes effect.
+    inputs_before_freeze: u32,
+    /// The result of the last health check by the load balancer.
     healthy: bool,
 }
 
-/// Until when each fault of a service, the network or the users lasts.
+/// The end of each ongoing fault of a service, the network or the users.
 #[derive(Default)]
 struct OngoingFaults {
-    store_out_until: u64,
+    store_outage_until: u64,
+    /// Until when requests take 15 times as long to reach the state service.
     store_slow_until: u64,
-    cloud_out_until: u64,
-    peers_refuse_until: u64,
-    late_copies_until: u64,
-    late_writes_until: u64,
-    held_commands_until: u64,
+    cloud_outage_until: u64,
+    /// Until when controllers can't exchange messages.
+    peer_messages_dropped_until: u64,
+    /// Until when copies of reports are delivered late.
+    duplicate_reports_until: u64,
+    /// Until when some transactions get no answer and are applied late.
+    delayed_transactions_until: u64,
+    /// Until when direct commands or their answers are delayed.
+    delayed_commands_until: u64,
+    /// Until when jobs are cancelled at the moment their last task ends.
     cancel_at_end_until: u64,
     invalid_requests_until: u64,
     south_isolated_until: u64,
     slow_boots_until: u64,
 }
 
-/// The simulated cluster, and what the rules of the protocol are checked against.
+/// The simulated cluster, together with the records that the rules are checked against.
 pub struct World {
+    /// Simulated time in milliseconds since the start of the run.
     pub now: u64,
+    /// The only source of random choices, seeded by the test.
     rng: StdRng,
-    order: u64,
-    heap: BinaryHeap<Reverse<(u64, u64)>>,
+    /// The number of the event scheduled last; events due at the same time run in this order.
+    last_sequence: u64,
+    /// Due time and sequence number of each scheduled event, earliest first.
+    event_queue: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Scheduled events by sequence number.
     scheduled_events: BTreeMap<u64, ScheduledEvent>,
     nodes: Vec<Node>,
     store: Store,
     ongoing: OngoingFaults,
-    /// Jobs that fail on every machine until their users cancel them.
-    mistaken: BTreeSet<String>,
+    /// Ids of jobs whose tasks fail on every machine until their users cancel them.
+    always_failing_jobs: BTreeSet<String>,
+    /// Watches of the state service that wait for a change.
     watches: Vec<OpenWatch>,
+    /// Workers by machine name, terminated ones included.
     workers: BTreeMap<String, Worker>,
-    rented: BTreeMap<String, Vec<String>>,
+    /// Names of the machines rented for each machine request, by request id.
+    machines_by_request: BTreeMap<String, Vec<String>>,
     next_machine: u32,
+    /// All jobs of the run; the job at index `i` has the id `j-` and `i` in six digits.
     pub jobs: Vec<UserJob>,
-    requests: BTreeMap<(usize, u64), Waiting>,
+    /// Requests to controllers that are not answered yet, by node and request number.
+    pending_requests: BTreeMap<(usize, u64), PendingRequest>,
     next_request: u64,
     next_report: u64,
-    /// Since when users of most jobs are answered.
-    most_heard_since: Option<u64>,
-    /// Where each task is on a machine now.
+    /// Since when most accepted jobs have had recent answers; `None` while they have not.
+    most_answered_since: Option<u64>,
+    /// The machines that each task is running or saving on; empty after it has ended.
     task_machines: BTreeMap<String, BTreeSet<String>>,
+    /// Tasks that ended successfully.
     pub done_tasks: BTreeSet<String>,
+    /// Broken rules, each starting with the name of the rule; the first one ends the run.
     pub violations: Vec<String>,
+    /// The number of task starts.
     pub starts: u64,
-    /// Tasks that left their machine before their end.
+    /// The number of task runs that ended early: failed, stopped, or lost with a worker's lease
+    /// or agent.
     pub lost_tasks: u64,
-    /// Starts of tasks of mistaken jobs, each of which failed.
+    /// The number of task starts of jobs that always fail.
     pub failures: u64,
-    /// Starts of jobs whose users had been told that they are cancelled.
+    /// The number of task starts after the cancellation of the job was confirmed to its user.
     pub starts_after_cancel: u64,
-    /// The longest that a task stayed on a machine after its user was told so.
+    /// The longest time in milliseconds that a task stayed on a machine after the confirmed
+    /// cancellation of its job.
     pub longest_run_after_cancel_ms: u64,
+    /// When all injected faults and their late messages are over.
     pub faults_end_at: u64,
-    pub sent: Sent,
-    /// Machines to be had of each zone and kind.
+    /// Counts of what controllers have sent.
+    pub sent: SentCounts,
+    /// The number of machines that the cloud has in each zone, for spot and on-demand
+    /// machines each.
     capacity: usize,
-    /// How many times longer than usual tasks run.
+    /// A factor on the run time of every task.
     pub run_time_factor: u64,
+    /// The CPU limit of each team.
     team_cpus: f64,
 }
 
-/// What controllers have sent, by count.
+/// Counts of what all controllers together have sent.
 #[derive(Debug, Default)]
-pub struct Sent {
+pub struct SentCounts {
+    /// Requests to the state service, writes included.
     pub store_requests: usize,
+    /// Keys written or deleted by transactions.
     pub store_writes: usize,
+    /// Messages to other controllers.
     pub messages: usize,
+    /// Requests with direct commands to workers.
     pub direct_commands: usize,
-    /// Reports answered by the leader itself, and all.
+    /// Heartbeat reports answered by the leader itself.
     pub leader_answers: usize,
+    /// Heartbeat reports answered by any controller.
     pub report_answers: usize,
 }
 
 impl World {
-    /// Machines that no answer reaches, and that are still rented.
+    /// Returns the number of rented machines that are up but receive neither answers nor
+    /// commands because of [`Fault::MachineReceivesNothing`].
     pub fn machines_receiving_nothing(&self) -> usize {
-        let deaf = |worker: &&Worker| worker.up(self.now) && self.now < worker.receives_nothing_until;
-        self.workers.values().filter(deaf).count()
+        let receives_nothing = |worker: &&Worker| worker.is_up(self.now) && self.now < worker.receives_nothing_until;
+        self.workers.values().filter(receives_nothing).count()
     }
 
+    /// Returns the number of machines that are up.
     pub fn machines(&self) -> usize {
         self.machine_names().len()
     }
 
-    /// Machines rented so far, those returned since among them.
+    /// Returns the number of machines rented so far, including those terminated since.
     pub fn machines_rented(&self) -> usize {
-        self.rented.values().map(Vec::len).sum()
+        self.machines_by_request.values().map(Vec::len).sum()
     }
 
+    /// Returns the names of the machines that are up.
     pub fn machine_names(&self) -> BTreeSet<String> {
-        let up = self.workers.values().filter(|worker| worker.up(self.now));
+        let up = self.workers.values().filter(|worker| worker.is_up(self.now));
         up.map(|worker| worker.name.clone()).collect()
     }
 
-    /// Keys in the state service that begin so.
+    /// Returns the number of keys in the state service that start with `prefix`.
     pub fn count_stored_keys(&self, prefix: &str) -> usize {
-        self.store.count(prefix)
+        self.store.count_keys(prefix)
     }
 
-    fn at(&mut self, time: u64, event: ScheduledEvent) {
-        self.order += 1;
-        self.heap.push(Reverse((time.max(self.now), self.order)));
-        self.scheduled_events.insert(self.order, event);
+    /// Schedules an event at `time`, or now if `time` is in the past.
+    fn schedule(&mut self, time: u64, event: ScheduledEvent) {
+        self.last_sequence += 1;
+        self.event_queue.push(Reverse((time.max(self.now), self.last_sequence)));
+        self.scheduled_events.insert(self.last_sequence, event);
     }
 
-    fn delay(&mut self) -> u64 {
+    /// Draws the delay of one message; one in a hundred is slow.
+    fn draw_network_delay_ms(&mut self) -> u64 {
         if self.rng.random_bool(0.01) {
             self.rng.random_range(50..400)
         } else {
@@ -179,53 +232,59 @@
         }
     }
 
+    /// Runs all events due by `until`, or until the first violation.
     pub fn run(&mut self, until: u64) {
-        while let Some(&Reverse((time, order))) = self.heap.peek() {
-            // What is due later stays for the next call.
+        while let Some(&Reverse((time, sequence))) = self.event_queue.peek() {
+            // Later events stay scheduled for the next call.
             if time > until || !self.violations.is_empty() {
                 return;
             }
-            self.heap.pop();
+            self.event_queue.pop();
             self.now = time;
-            if let Some(event) = self.scheduled_events.remove(&order) {
+            if let Some(event) = self.scheduled_events.remove(&sequence) {
                 self.dispatch(event);
             }
         }
     }
 
-    fn step(&mut self, node: usize, input: Input) {
-        let (now, running) = (self.now, &mut self.nodes[node]);
+    /// Lets a controller process one input and sends its outputs.
+    ///
+    /// While the controller is frozen, its outputs are delayed until it resumes, except answers
+    /// to users, whose requests have timed out by then.
+    fn step_controller(&mut self, node: usize, input: Input) {
+        let (now, state) = (self.now, &mut self.nodes[node]);
         let clock = Now {
-            monotonic: running.clock_offset + (now as f64 * running.clock_rate) as u64 + 1_000_000,
+            monotonic: state.clock_offset + (now as f64 * state.clock_rate) as u64 + 1_000_000,
             wall_clock: 1_700_000_000_000 + now,
         };
-        let Some(controller) = &mut running.controller else {
+        let Some(controller) = &mut state.controller else {
             return;
         };
         let outputs = controller.step(clock, input);
-        let (incarnation, thaw) = (running.incarnation, running.frozen_until);
+        let (incarnation, resume_at) = (state.incarnation, state.frozen_until);
         for output in outputs {
             let requester = match &output {
-                Output::Answer { request, .. } => self.requests.get(&(node, *request)),
+                Output::Answer { request, .. } => self.pending_requests.get(&(node, *request)),
                 _ => None,
             };
-            if now < thaw && matches!(requester, Some(Waiting::User { .. })) {
-                // Its user has given up by then.
-            } else if now < thaw {
-                self.at(
-                    thaw,
-                    ScheduledEvent::Thawed {
+            if now < resume_at && matches!(requester, Some(PendingRequest::User { .. })) {
+                // The user's request has timed out before the controller resumes.
+            } else if now < resume_at {
+                self.schedule(
+                    resume_at,
+                    ScheduledEvent::DelayedOutput {
                         node,
                         incarnation,
                         output,
                     },
                 );
             } else {
-                self.output(node, incarnation, output);
+                self.send_output(node, incarnation, output);
             }
         }
     }
 
+    /// Returns the first controller that considers itself the leader.
     fn leader(&self) -> Option<usize> {
         self.nodes
             .iter()
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -1,21 +1,24 @@
-//! The network: answers and messages on their way, and who is cut off from whom.
+//! The network between controllers, workers, users and the cloud, and its partitions.
 
 use super::*;
 
 impl World {
-    /// True if a controller is frozen and takes no input now.
-    pub(super) fn stands_still(&mut self, node: usize) -> bool {
+    /// Returns whether an input to a controller must wait because the controller is frozen.
+    ///
+    /// A controller still processes `inputs_before_freeze` inputs before it freezes; each call
+    /// during the freeze uses up one of them.
+    pub(super) fn defers_input(&mut self, node: usize) -> bool {
         let (now, node) = (self.now, &mut self.nodes[node]);
         if now >= node.frozen_until {
             return false;
         }
-        let still = node.last_inputs == 0;
-        node.last_inputs = node.last_inputs.saturating_sub(1);
-        still
+        let frozen = node.inputs_before_freeze == 0;
+        node.inputs_before_freeze = node.inputs_before_freeze.saturating_sub(1);
+        frozen
     }
 
-    /// Sends what a controller puts out, as far as the network lets it through.
-    pub(super) fn output(&mut self, node: usize, incarnation: u64, output: Output) {
+    /// Sends an output of a controller through the network, which may delay or lose it.
+    pub(super) fn send_output(&mut self, node: usize, incarnation: u64, output: Output) {
         match output {
             Output::Answer { request, answer } => self.send_answer(node, request, answer),
             Output::Peer { node: to, message } => self.send_to_peer(node, &to, &message),
@@ -52,26 +55,29 @@
     }
 
     fn send_answer(&mut self, node: usize, request: u64, answer: Answer) {
-        let delay = self.delay();
-        if let Some(Waiting::Report { .. }) = self.requests.get(&(node, request)) {
+        let delay = self.draw_network_delay_ms();
+        if let Some(PendingRequest::Report { .. }) = self.pending_requests.get(&(node, request)) {
             self.sent.report_answers += 1;
             self.sent.leader_answers += usize::from(self.leader() == Some(node));
         }
-        match self.requests.remove(&(node, request)) {
-            Some(Waiting::User { job, kind }) => {
+        match self.pending_requests.remove(&(node, request)) {
+            Some(PendingRequest::User { job, kind }) => {
                 let answered = ScheduledEvent::UserAnswered {
                     job,
                     kind,
-                    given: self.now,
+                    sent_at: self.now,
                     answer,
                 };
-                self.at(self.now + delay, answered);
+                self.schedule(self.now + delay, answered);
             }
-            Some(Waiting::Health) => self.nodes[node].healthy = answer.status == 200,
-            Some(Waiting::Report { machine, id })
-                if self.now >= self.nodes[node].worker_cut_until.max(self.apart_from(node, &machine)) =>
+            Some(PendingRequest::Health) => self.nodes[node].healthy = answer.status == 200,
+            Some(PendingRequest::Report { machine, id })
+                if self.now
+                    >= self.nodes[node]
+                        .worker_cut_until
+                        .max(self.partitioned_from_machine_until(node, &machine)) =>
             {
-                self.at(self.now + delay, ScheduledEvent::ReportAnswered { machine, id, answer });
+                self.schedule(self.now + delay, ScheduledEvent::ReportAnswered { machine, id, answer });
             }
             _ => {}
         }
@@ -82,20 +88,20 @@
         let Some(to) = self.nodes.iter().position(|other| other.name == to) else {
             return;
         };
-        let alone = self.alone_until(node).max(self.alone_until(to));
+        let isolated = self.isolated_until(node).max(self.isolated_until(to));
         let cut = self.nodes[node]
             .peer_cut_until
             .max(self.nodes[to].peer_cut_until)
-            .max(alone);
-        if self.now < cut.max(self.ongoing.peers_refuse_until) {
+            .max(isolated);
+        if self.now < cut.max(self.ongoing.peer_messages_dropped_until) {
             return;
         }
-        let (delay, incarnation) = (self.delay(), self.nodes[to].incarnation);
+        let (delay, incarnation) = (self.draw_network_delay_ms(), self.nodes[to].incarnation);
         let input = Input::Peer {
             node: self.nodes[node].name.clone(),
-            message: Box::new(over_the_wire(message)),
+            message: Box::new(encode_and_decode(message)),
         };
-        self.at(
+        self.schedule(
             self.now + delay,
             ScheduledEvent::Input {
                 node: to,
@@ -111,16 +117,16 @@
         if lost {
             self.give_cloud_reply(caller, 6_000, CloudReply::Unanswered);
         }
-        let late = if lost { self.rng.random_range(0..15_000) } else { delay };
+        let arrival_delay = if lost { self.rng.random_range(0..15_000) } else { delay };
         let arrival = ScheduledEvent::Cloud {
             caller,
             request,
             reply: !lost,
         };
-        self.at(self.now + late, arrival);
+        self.schedule(self.now + arrival_delay, arrival);
     }
 
-    /// Delivers the reply of the cloud to the run of the controller that made the call.
+    /// Schedules the reply of the cloud for the run of the controller that made the call.
     pub(super) fn give_cloud_reply(&mut self, caller: Caller, after_ms: u64, reply: CloudReply) {
         let Caller {
             node,
@@ -128,7 +134,7 @@
             call,
         } = caller;
         let input = Input::Cloud { call, reply };
-        self.at(
+        self.schedule(
             self.now + after_ms,
             ScheduledEvent::Input {
                 node,
@@ -138,15 +144,15 @@
         );
     }
 
-    /// Notes that a request to a controller waits for its answer.
-    pub(super) fn expect(&mut self, node: usize, waiting: Waiting) -> u64 {
+    /// Registers a request to a controller that waits for an answer, and returns its number.
+    pub(super) fn register_request(&mut self, node: usize, pending: PendingRequest) -> u64 {
         self.next_request += 1;
-        self.requests.insert((node, self.next_request), waiting);
+        self.pending_requests.insert((node, self.next_request), pending);
         self.next_request
     }
 
-    /// Until when a controller is cut off with its zone from all other zones.
-    pub(super) fn alone_until(&self, node: usize) -> u64 {
+    /// Returns until when a controller is isolated together with the zone `south`.
+    pub(super) fn isolated_until(&self, node: usize) -> u64 {
         if node == SOUTH_NODE {
             self.ongoing.south_isolated_until
         } else {
@@ -154,9 +160,9 @@
         }
     }
 
-    /// Until when a controller and machines of the south, or of the north, can't
-    /// reach each other.
-    pub(super) fn apart(&self, node: usize, south: bool) -> u64 {
+    /// Returns until when a controller can't reach the machines of the zone `south` (`south` is
+    /// true) or of the zone `north`.
+    pub(super) fn partitioned_until(&self, node: usize, south: bool) -> u64 {
         if (node == SOUTH_NODE) == south {
             0
         } else {
@@ -164,15 +170,17 @@
         }
     }
 
-    pub(super) fn apart_from(&self, node: usize, machine: &str) -> u64 {
+    /// Returns until when a controller and the machine can't reach each other because the zone
+    /// `south` is isolated.
+    pub(super) fn partitioned_from_machine_until(&self, node: usize, machine: &str) -> u64 {
         self.workers
             .get(machine)
-            .map_or(0, |worker| self.apart(node, worker.zone == "south"))
+            .map_or(0, |worker| self.partitioned_until(node, worker.zone == "south"))
     }
 }
 
-/// What a link carries is what comes out of it.
-fn over_the_wire(message: &Message) -> Message {
-    let bytes = rmp_serde::to_vec(message).expect("written");
-    rmp_serde::from_slice(&bytes).expect("read")
+/// Returns the message as it is after encoding and decoding on a link between controllers.
+fn encode_and_decode(message: &Message) -> Message {
+    let bytes = rmp_serde::to_vec(message).expect("encode a peer message");
+    rmp_serde::from_slice(&bytes).expect("decode a peer message")
 }
--- a/tests/rules/world/scheduled_event.rs
+++ b/tests/rules/world/scheduled_event.rs
@@ -1,8 +1,8 @@
-//! What is scheduled to happen in the simulation, and who waits for an answer.
+//! The events of the simulation, and the requests that wait for an answer.
 
 use super::*;
 
-/// The controller that made a call, in one of its runs, and the call's number.
+/// The controller and its run that made a call, and the number of the call.
 #[derive(Clone, Copy)]
 pub(super) struct Caller {
     pub node: usize,
@@ -10,64 +10,81 @@
     pub call: u64,
 }
 
+/// An event that is due at a given time. `node` is the index of a controller; `reply` is
+/// whether the reply reaches the caller.
 pub(super) enum ScheduledEvent {
+    /// The timer of a controller fires.
     Tick(usize),
+    /// An input reaches a run of a controller.
     Input {
         node: usize,
         incarnation: u64,
         input: Input,
     },
+    /// A request reaches the state service.
     Store {
         caller: Caller,
         request: StoreRequest,
         reply: bool,
     },
+    /// A request reaches the cloud.
     Cloud {
         caller: Caller,
         request: CloudRequest,
         reply: bool,
     },
+    /// Direct commands reach a worker.
     Direct {
         caller: Caller,
         machine: String,
         commands: DirectCommands,
         reply: bool,
     },
+    /// A heartbeat report reaches a controller.
     ReportArrives {
         node: usize,
         machine: String,
         report: Box<Report>,
         id: u64,
     },
-    ReportAnswered {
-        machine: String,
-        id: u64,
-        answer: Answer,
-    },
-    /// A step of simulated time for machines, services and checks.
+    /// The answer to a heartbeat report reaches the worker.
+    ReportAnswered { machine: String, id: u64, answer: Answer },
+    /// A step of simulated time for machines, services and checks, every 100 ms.
     ClusterStep,
-    User(usize),
-    /// A request of a user out of turn.
-    UserNow(usize),
+    /// The periodic request of a job's user.
+    UserTurn(usize),
+    /// A single request of a job's user between the periodic ones.
+    ExtraUserRequest(usize),
+    /// The answer to a request reaches the user.
     UserAnswered {
         job: usize,
         kind: RequestKind,
-        /// When the controller gave it.
-        given: u64,
+        /// When the controller sent the answer.
+        sent_at: u64,
         answer: Answer,
     },
+    /// A fault is injected.
     Fault(Fault),
+    /// A controller starts.
     Restart(usize),
-    /// What a controller that stood still sends when it wakes.
-    Thawed {
+    /// An output that a frozen controller sends when it resumes.
+    DelayedOutput {
         node: usize,
         incarnation: u64,
         output: Output,
     },
 }
 
-pub(super) enum Waiting {
+/// A request to a controller that waits for its answer.
+pub(super) enum PendingRequest {
+    /// A health check by the load balancer.
     Health,
-    User { job: usize, kind: RequestKind },
-    Report { machine: String, id: u64 },
+    User {
+        job: usize,
+        kind: RequestKind,
+    },
+    Report {
+        machine: String,
+        id: u64,
+    },
 }
--- a/tests/rules/world/setup.rs
+++ b/tests/rules/world/setup.rs
@@ -1,38 +1,42 @@
-//! How a simulated cluster is set up, and how its controllers start.
+//! The setup of a simulated cluster, and the start of its controllers.
 
 use super::*;
 
 const SETTINGS: &str = include_str!("../../support/settings.toml");
 
 impl World {
+    /// Returns a cluster with `nodes` controllers, `jobs` random jobs and the given faults, each
+    /// with the time at which it is injected.
     pub fn new(seed: u64, nodes: usize, jobs: usize, faults: Vec<(u64, Fault)>) -> World {
         let mut rng = StdRng::seed_from_u64(seed);
         let nodes = (0..nodes).map(|index| Node::new(index, &mut rng)).collect();
         let mut world = World::empty(rng, nodes);
-        let ends = faults.iter().map(|(at, fault)| at + fault.lasts());
+        let ends = faults.iter().map(|(at, fault)| at + fault.duration_ms());
         world.faults_end_at = ends.max().unwrap_or(0);
         for index in 0..jobs {
             let job = world.draw_job(index);
-            world.at(job.submit_at, ScheduledEvent::User(index));
+            world.schedule(job.submit_at, ScheduledEvent::UserTurn(index));
             world.jobs.push(job);
         }
         for node in 0..world.nodes.len() {
             let at = world.rng.random_range(0..200);
-            world.at(at, ScheduledEvent::Restart(node));
+            world.schedule(at, ScheduledEvent::Restart(node));
         }
         for (at, fault) in faults {
-            world.at(at, ScheduledEvent::Fault(fault));
+            world.schedule(at, ScheduledEvent::Fault(fault));
         }
-        world.at(100, ScheduledEvent::ClusterStep);
+        world.schedule(100, ScheduledEvent::ClusterStep);
         world
     }
 
-    /// Room for some thousand machines, and teams that may use them.
+    /// Returns a cluster without jobs in which the cloud has 4,000 machines and the teams' limits
+    /// allow using them.
     pub fn with_large_capacity(seed: u64, nodes: usize, faults: Vec<(u64, Fault)>) -> World {
         World::with_machine_capacity(seed, nodes, 1_000, faults)
     }
 
-    /// Room for so many machines of each zone and kind, of which there are four.
+    /// Returns a cluster without jobs in which the cloud has `capacity` machines of each of the
+    /// four combinations of zone and spot or on-demand, and the teams' limits allow using them.
     pub fn with_machine_capacity(seed: u64, nodes: usize, capacity: usize, faults: Vec<(u64, Fault)>) -> World {
         let mut world = World::new(seed, nodes, 0, faults);
         world.capacity = capacity;
@@ -40,26 +44,27 @@
         world
     }
 
+    /// Returns a cluster in which nothing is scheduled.
     fn empty(rng: StdRng, nodes: Vec<Node>) -> World {
         World {
             now: 0,
             rng,
-            order: 0,
-            heap: BinaryHeap::new(),
+            last_sequence: 0,
+            event_queue: BinaryHeap::new(),
             scheduled_events: BTreeMap::new(),
             nodes,
             store: Store::default(),
             ongoing: OngoingFaults::default(),
-            mistaken: BTreeSet::new(),
+            always_failing_jobs: BTreeSet::new(),
             watches: Vec::new(),
             workers: BTreeMap::new(),
-            rented: BTreeMap::new(),
+            machines_by_request: BTreeMap::new(),
             next_machine: 0,
             jobs: Vec::new(),
-            requests: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             next_request: 0,
             next_report: 0,
-            most_heard_since: None,
+            most_answered_since: None,
             task_machines: BTreeMap::new(),
             done_tasks: BTreeSet::new(),
             violations: Vec::new(),
@@ -68,7 +73,7 @@
             failures: 0,
             starts_after_cancel: 0,
             longest_run_after_cancel_ms: 0,
-            sent: Sent::default(),
+            sent: SentCounts::default(),
             capacity: 4,
             run_time_factor: 1,
             team_cpus: TEAM_CPUS,
@@ -76,6 +81,7 @@
         }
     }
 
+    /// Starts a controller with a new incarnation number.
     pub(super) fn restart(&mut self, node: usize) {
         let incarnation = self.rng.random::<u32>() as u64 + 1;
         let name = self.nodes[node].name.clone();
@@ -89,7 +95,7 @@
         let settings = Settings::parse(&text).expect("valid settings");
         self.nodes[node].incarnation = incarnation;
         self.nodes[node].controller = Some(Controller::new(settings, Policy::default(), incarnation));
-        self.at(self.now, ScheduledEvent::Tick(node));
+        self.schedule(self.now, ScheduledEvent::Tick(node));
     }
 }
 
@@ -104,10 +110,10 @@
             store_cut_until: 0,
             peer_cut_until: 0,
             worker_cut_until: 0,
-            refused_until: 0,
-            reads_lost_until: 0,
+            store_refuses_until: 0,
+            store_reads_lost_until: 0,
             frozen_until: 0,
-            last_inputs: 0,
+            inputs_before_freeze: 0,
             healthy: false,
         }
     }
--- a/tests/rules/world/state_service.rs
+++ b/tests/rules/world/state_service.rs
@@ -1,11 +1,11 @@
-//! Requests to the state service on their way: delivered, delayed, lost, refused or watched.
+//! The delivery, delay, loss and refusal of requests to the state service, and open watches.
 
 use super::*;
 
-/// After so long without an answer, a controller takes a request for lost.
+/// How long a controller waits for the answer to a request.
 const STORE_TIMEOUT_MS: u64 = 2_000;
 
-/// A watch that is answered when something changes, at the latest when its wait is over.
+/// A watch that is answered at the next change, or at `until` if nothing changes.
 pub(super) struct OpenWatch {
     until: u64,
     caller: Caller,
@@ -13,11 +13,12 @@
 }
 
 impl World {
+    /// Sends a request to the state service, subject to the faults of the controller.
     pub(super) fn send_to_store(&mut self, caller: Caller, request: StoreRequest) {
         self.sent.store_requests += 1;
         self.sent.store_writes += request.writes() as usize;
         let node = &self.nodes[caller.node];
-        if self.now < node.refused_until {
+        if self.now < node.store_refuses_until {
             self.refuse(caller, request);
             return;
         }
@@ -25,11 +26,11 @@
             request,
             StoreRequest::Get(_) | StoreRequest::List { .. } | StoreRequest::Watch { .. }
         );
-        if reads && self.now < node.reads_lost_until {
+        if reads && self.now < node.store_reads_lost_until {
             self.give_store_reply(caller, STORE_TIMEOUT_MS, StoreReply::Unanswered);
             return;
         }
-        let cut = node.store_cut_until.max(self.alone_until(caller.node));
+        let cut = node.store_cut_until.max(self.isolated_until(caller.node));
         if self.now < cut {
             self.hold_until_reconnected(caller, cut, request);
             return;
@@ -37,35 +38,38 @@
         self.deliver_to_store(caller, request);
     }
 
-    /// Held back: applied late, when nobody waits any more.
+    /// Lets a request of a disconnected controller time out.
+    ///
+    /// Half of the transactions are still applied after the connection is back.
     fn hold_until_reconnected(&mut self, caller: Caller, cut: u64, request: StoreRequest) {
         if matches!(request, StoreRequest::Transact(_)) && self.rng.random_bool(0.5) {
-            let late = cut + self.rng.random_range(0..3_000);
+            let arrival_at = cut + self.rng.random_range(0..3_000);
             let arrival = ScheduledEvent::Store {
                 caller,
                 request,
                 reply: false,
             };
-            self.at(late, arrival);
+            self.schedule(arrival_at, arrival);
         }
         self.give_store_reply(caller, STORE_TIMEOUT_MS, StoreReply::Unanswered);
     }
 
+    /// Delivers a request, which may be delayed or lose its reply.
     fn deliver_to_store(&mut self, caller: Caller, request: StoreRequest) {
-        let slow = if self.now < self.ongoing.store_slow_until {
+        let slowdown = if self.now < self.ongoing.store_slow_until {
             15
         } else {
             1
         };
-        let delay = self.delay() * slow;
-        let held = self.now < self.ongoing.late_writes_until
+        let delay = self.draw_network_delay_ms() * slowdown;
+        let delayed = self.now < self.ongoing.delayed_transactions_until
             && matches!(request, StoreRequest::Transact(_))
             && self.rng.random_bool(0.33);
-        let lost = held || self.rng.random_bool(0.003);
+        let lost = delayed || self.rng.random_bool(0.003);
         if lost {
             self.give_store_reply(caller, STORE_TIMEOUT_MS, StoreReply::Unanswered);
         }
-        let late = match (held, lost) {
+        let arrival_delay = match (delayed, lost) {
             (true, _) => self.rng.random_range(2_000..12_000),
             (_, true) => self.rng.random_range(0..8_000),
             _ => delay,
@@ -75,15 +79,16 @@
             request,
             reply: !lost,
         };
-        self.at(self.now + late, arrival);
+        self.schedule(self.now + arrival_delay, arrival);
     }
 
-    pub(super) fn store_call(&mut self, caller: Caller, request: StoreRequest, reply: bool) {
-        if self.now < self.ongoing.store_out_until {
+    /// Executes a request that reached the state service; a watch without changes is held open.
+    pub(super) fn handle_store_request(&mut self, caller: Caller, request: StoreRequest, reply: bool) {
+        if self.now < self.ongoing.store_outage_until {
             if let StoreRequest::Watch { wait_ms, .. } = &request
                 && *wait_ms > 0
             {
-                self.keep_watch(caller, *wait_ms, request);
+                self.hold_watch(caller, *wait_ms, request);
             } else if reply {
                 self.give_store_reply(caller, 2, StoreReply::Unavailable);
             }
@@ -94,50 +99,56 @@
             && *wait_ms > 0
             && log.events.is_empty()
         {
-            self.keep_watch(caller, *wait_ms, request);
+            self.hold_watch(caller, *wait_ms, request);
             return;
         }
         if reply {
-            let delay = self.delay();
+            let delay = self.draw_network_delay_ms();
             self.give_store_reply(caller, delay, answer);
         }
-        self.serve_watches();
+        self.answer_watches();
     }
 
-    fn keep_watch(&mut self, caller: Caller, wait_ms: u64, request: StoreRequest) {
+    /// Holds a watch open for up to `wait_ms`.
+    fn hold_watch(&mut self, caller: Caller, wait_ms: u64, request: StoreRequest) {
         let until = self.now + wait_ms;
         self.watches.push(OpenWatch { until, caller, request });
     }
 
-    pub(super) fn serve_watches(&mut self) {
-        if self.now < self.ongoing.store_out_until {
+    /// Answers open watches that have changes or whose wait is over, unless their controller is
+    /// cut off.
+    pub(super) fn answer_watches(&mut self) {
+        if self.now < self.ongoing.store_outage_until {
             return;
         }
         for watch in std::mem::take(&mut self.watches) {
             let answer = self.store.execute(self.now, &watch.request);
             let empty = matches!(&answer, StoreReply::Log(log) if log.events.is_empty());
             let node = &self.nodes[watch.caller.node];
-            let shut = node.store_cut_until.max(node.refused_until).max(node.reads_lost_until);
-            let shut = shut.max(self.alone_until(watch.caller.node));
-            if (empty && self.now < watch.until) || self.now < shut {
+            let unreachable_until = node
+                .store_cut_until
+                .max(node.store_refuses_until)
+                .max(node.store_reads_lost_until);
+            let unreachable_until = unreachable_until.max(self.isolated_until(watch.caller.node));
+            if (empty && self.now < watch.until) || self.now < unreachable_until {
                 self.watches.push(watch);
             } else {
-                let delay = self.delay();
+                let delay = self.draw_network_delay_ms();
                 self.give_store_reply(watch.caller, delay, answer);
             }
         }
     }
 
-    /// 503 to this controller alone; its watches wait as in an outage.
+    /// Answers a request with 503, but holds watches open as in an outage.
     fn refuse(&mut self, caller: Caller, request: StoreRequest) {
-        let delay = self.delay();
+        let delay = self.draw_network_delay_ms();
         match &request {
-            StoreRequest::Watch { wait_ms, .. } if *wait_ms > 0 => self.keep_watch(caller, *wait_ms, request),
+            StoreRequest::Watch { wait_ms, .. } if *wait_ms > 0 => self.hold_watch(caller, *wait_ms, request),
             _ => self.give_store_reply(caller, delay, StoreReply::Unavailable),
         }
     }
 
-    /// Delivers the reply of the state service to the run of the controller that made the call.
+    /// Schedules the reply of the state service for the run of the controller that made the call.
     fn give_store_reply(&mut self, caller: Caller, after_ms: u64, reply: StoreReply) {
         let Caller {
             node,
@@ -145,7 +156,7 @@
             call,
         } = caller;
         let input = Input::Store { call, reply };
-        self.at(
+        self.schedule(
             self.now + after_ms,
             ScheduledEvent::Input {
                 node,
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -1,31 +1,38 @@
-//! A simulated state service, by its published protocol.
+//! A simulated state service that follows the published protocol.
 
 use std::collections::BTreeMap;
 use sumacbend::store::{StoreReply, StoreRequest};
 use sumacbend::wire::{Change, Entry, Event, Log, Page, Transaction};
 
+/// The contents of the state service: keys, leases and the log of changes.
 #[derive(Default)]
 pub struct Store {
+    /// Value, version and lease of each key; the key is deleted when its lease expires.
     entries: BTreeMap<String, (serde_json::Value, u64, Option<u64>)>,
+    /// The number of the last change.
     pub revision: u64,
+    /// All changes so far, oldest first.
     log: Vec<Event>,
+    /// Time to live and expiry time of each lease, in milliseconds.
     leases: BTreeMap<u64, (u64, u64)>,
     next_lease: u64,
 }
 
 impl Store {
-    pub fn count(&self, prefix: &str) -> usize {
+    /// Returns the number of keys that start with `prefix`.
+    pub fn count_keys(&self, prefix: &str) -> usize {
         self.entries.keys().filter(|key| key.starts_with(prefix)).count()
     }
 
-    pub fn expire(&mut self, now: u64) {
-        let gone: Vec<u64> = self
+    /// Removes expired leases and deletes their keys.
+    pub fn expire_leases(&mut self, now: u64) {
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (_, until))| now > *until)
             .map(|(&id, _)| id)
             .collect();
-        for lease in gone {
+        for lease in expired {
             self.leases.remove(&lease);
             let keys: Vec<String> = self
                 .entries
@@ -40,7 +47,7 @@
         }
     }
 
-    /// After an outage every lease has its full time again.
+    /// Renews every lease for its full time, as the service does after an outage.
     pub fn refresh_leases(&mut self, now: u64) {
         for (ttl, until) in self.leases.values_mut() {
             *until = now + *ttl;
@@ -58,8 +65,9 @@
         }
     }
 
+    /// Executes one request at `now` and returns the reply.
     pub fn execute(&mut self, now: u64, request: &StoreRequest) -> StoreReply {
-        self.expire(now);
+        self.expire_leases(now);
         match request {
             StoreRequest::Get(key) => match self.entries.get(key) {
                 Some((value, version, _)) => StoreReply::Found {
@@ -96,7 +104,7 @@
             if key.as_str() <= after {
                 continue;
             }
-            // Small pages, so that reading in pages is exercised.
+            // A small page size makes the controllers read several pages.
             if items.len() == 7 {
                 more = true;
                 break;
@@ -126,11 +134,11 @@
         })
     }
 
-    /// The protocol's limits on the size of a transaction.
+    /// Fails the test if a transaction exceeds the protocol's limits on its size.
     fn check_size(transaction: &Transaction) {
         assert!(
             transaction.changes.len() <= 48 && transaction.conditions.len() <= 192,
-            "a transaction is too large"
+            "a transaction has too many changes or conditions"
         );
         let bytes = serde_json::to_vec(transaction).expect("json").len();
         assert!(bytes <= 64 * 1024, "a transaction of {bytes} bytes");
@@ -142,7 +150,7 @@
             if let Change::Put { value, lease, .. } = change {
                 assert!(
                     serde_json::to_vec(value).expect("json").len() <= 16 * 1024,
-                    "a value is too large"
+                    "a value is longer than 16 KiB"
                 );
                 if lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
                     return StoreReply::LeaseGone;
--- a/tests/rules/world/user_answers.rs
+++ b/tests/rules/world/user_answers.rs
@@ -1,9 +1,10 @@
-//! What users are told, checked against what they were told before, and invalid requests.
+//! Checks of the answers to users against earlier answers, and invalid requests of users.
 
 use super::*;
 
 impl World {
-    pub(super) fn user_answered(&mut self, index: usize, kind: RequestKind, given: u64, answer: &Answer) {
+    /// Checks an answer to a user and records the state of the job that it reports.
+    pub(super) fn handle_user_answer(&mut self, index: usize, kind: RequestKind, sent_at: u64, answer: &Answer) {
         let now = self.now;
         let id = self.jobs[index].spec.id.clone();
         if matches!(kind, RequestKind::Unknown | RequestKind::Invalid) {
@@ -11,7 +12,7 @@
             return;
         }
         let job = &mut self.jobs[index];
-        if matches!(answer.status, 400 | 422) || (answer.status == 404 && job.known_state != KnownState::Nothing) {
+        if matches!(answer.status, 400 | 422) || (answer.status == 404 && job.known_state != KnownState::NotAccepted) {
             self.violations.push(format!(
                 "forgotten: {id} answered {} at {now} ({})",
                 answer.status, answer.body
@@ -21,27 +22,28 @@
         if !matches!(answer.status, 200 | 201) {
             return;
         }
-        job.answered_at = now;
-        let status: JobStatus = serde_json::from_str(&answer.body).expect("a job's state");
-        let told = match status.state {
+        job.last_answered_at = now;
+        let status: JobStatus = serde_json::from_str(&answer.body).expect("valid job status");
+        let reported = match status.state {
             JobState::Queued | JobState::Running => KnownState::Accepted,
             JobState::Done => KnownState::Done,
             JobState::Cancelled => KnownState::Cancelled,
         };
-        // On its way already when the user was told otherwise: not an answer
-        // given after that.
-        if given < job.known_since && told != job.known_state {
+        // The controller sent this answer before the user learned the present state, so it may
+        // report an earlier one.
+        if sent_at < job.known_since && reported != job.known_state {
             return;
         }
-        self.check_told(index, told);
+        self.check_reported_state(index, reported);
         let job = &mut self.jobs[index];
-        if job.known_state != told {
-            job.known_state = told;
+        if job.known_state != reported {
+            job.known_state = reported;
             job.known_since = now;
         }
     }
 
-    /// No job is known that nobody submitted, and none is accepted that can't run or lacks a field.
+    /// Checks that a job that nobody submitted is unknown, and that a job that can't run or lacks
+    /// a field is not accepted.
     fn check_refused(&mut self, kind: RequestKind, answer: &Answer) {
         if kind == RequestKind::Unknown && answer.status == 200 {
             self.violations.push(format!("invented: {}", answer.body));
@@ -52,18 +54,19 @@
         }
     }
 
-    /// An end is not taken back, none comes unasked, and all tasks of a finished job are done.
-    fn check_told(&mut self, index: usize, told: KnownState) {
+    /// Checks that the end of a job is final, that no job is cancelled without a request, and that
+    /// all tasks of a job reported as done are done.
+    fn check_reported_state(&mut self, index: usize, reported: KnownState) {
         let (now, job) = (self.now, &self.jobs[index]);
         let id = &job.spec.id;
         let ended = matches!(job.known_state, KnownState::Done | KnownState::Cancelled);
-        if (ended && told != job.known_state) || (told == KnownState::Cancelled && !job.cancel_asked) {
+        if (ended && reported != job.known_state) || (reported == KnownState::Cancelled && !job.cancel_asked) {
             self.violations.push(format!(
-                "went_back: {id} was {:?}, now {told:?} at {now}",
+                "went_back: {id} was {:?}, now {reported:?} at {now}",
                 job.known_state
             ));
         }
-        if told == KnownState::Done {
+        if reported == KnownState::Done {
             let missing = (0..job.spec.tasks)
                 .filter(|task| !self.done_tasks.contains(&format!("{id}/{task}")))
                 .count();
@@ -74,10 +77,11 @@
         }
     }
 
-    /// Some jobs are cancelled at the moment at which their last task ends.
-    pub(super) fn ended_now(&mut self, task: &str) {
+    /// During [`Fault::CancelAtEnd`], makes the users of half of the jobs cancel them when their
+    /// last task ends.
+    pub(super) fn maybe_cancel_at_end(&mut self, task: &str) {
         let Some(index) = self
-            .job_of(task)
+            .job_index_of_task(task)
             .filter(|_| self.now < self.ongoing.cancel_at_end_until)
         else {
             return;
@@ -89,12 +93,12 @@
         if left <= 1 && job.cancel_at.is_none() && self.rng.random_bool(0.5) {
             job.cancel_at = Some(now);
             let at = now + self.rng.random_range(0..600);
-            self.at(at, ScheduledEvent::UserNow(index));
+            self.schedule(at, ScheduledEvent::ExtraUserRequest(index));
         }
     }
 
-    /// Repeats of known jobs, cancels of done ones, and jobs that no controller
-    /// may take: too large for any machine, of no team, or without a field.
+    /// During [`Fault::InvalidRequests`], repeats a submission, cancels a job that is done, or
+    /// submits a job that no controller may accept.
     pub(super) fn send_invalid_requests(&mut self) {
         if self.now >= self.ongoing.invalid_requests_until || self.jobs.is_empty() {
             return;
@@ -102,14 +106,14 @@
         let index = self.rng.random_range(0..self.jobs.len());
         let job = &self.jobs[index];
         let (kind, user_request) = match self.rng.random_range(0..4) {
-            0 if job.known_state != KnownState::Nothing => (
+            0 if job.known_state != KnownState::NotAccepted => (
                 RequestKind::Submit,
                 UserRequest::Submit(serde_json::to_string(&job.spec).expect("json")),
             ),
             1 if job.known_state == KnownState::Done => (RequestKind::Cancel, UserRequest::Cancel(job.spec.id.clone())),
             2 => (
                 RequestKind::Invalid,
-                UserRequest::Submit(self.invalid_job().to_string()),
+                UserRequest::Submit(self.draw_invalid_job().to_string()),
             ),
             _ => return,
         };
@@ -117,11 +121,13 @@
         if self.nodes[node].controller.is_none() || self.now < self.nodes[node].frozen_until {
             return;
         }
-        let request = self.expect(node, Waiting::User { job: index, kind });
-        self.step(node, Input::User { request, user_request });
+        let request = self.register_request(node, PendingRequest::User { job: index, kind });
+        self.step_controller(node, Input::User { request, user_request });
     }
 
-    fn invalid_job(&mut self) -> serde_json::Value {
+    /// Draws a job that can't run: too large for any machine, of an unknown zone or team, or
+    /// without a required field.
+    fn draw_invalid_job(&mut self) -> serde_json::Value {
         let spec = JobSpec {
             id: format!("j-8{:05}", self.rng.random_range(0..100_000)),
             ..World::plain_spec()
@@ -134,32 +140,33 @@
             2 => fields.insert("yard".into(), "nowhere".into()),
             3 => fields.insert("consignor".into(), "nobody".into()),
             _ => {
-                let needed: Vec<String> = fields
+                let required: Vec<String> = fields
                     .iter()
                     .filter(|(name, value)| !value.is_null() && *name != "id")
                     .map(|(name, _)| name.clone())
                     .collect();
-                fields.remove(&needed[self.rng.random_range(0..needed.len())])
+                fields.remove(&required[self.rng.random_range(0..required.len())])
             }
         };
         job
     }
 
-    /// For tests of the checks: the user was told so just now.
-    pub fn set_known_state(&mut self, index: usize, told: KnownState) {
+    /// Sets the state that a job's user knows, as if an answer had just arrived, for tests of the
+    /// checks.
+    pub fn set_known_state(&mut self, index: usize, known_state: KnownState) {
         let (now, job) = (self.now, &mut self.jobs[index]);
-        job.known_state = told;
+        job.known_state = known_state;
         job.known_since = now;
-        job.answered_at = now;
+        job.last_answered_at = now;
     }
 
-    /// For tests of the checks: a controller answers so.
+    /// Delivers an answer to the user of a job, for tests of the checks.
     pub fn deliver_user_answer(&mut self, index: usize, kind: RequestKind, status: u16, body: &str) {
         let answer = Answer {
             status,
             body: body.into(),
             retry_after_s: None,
         };
-        self.user_answered(index, kind, self.now, &answer);
+        self.handle_user_answer(index, kind, self.now, &answer);
     }
 }
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -1,46 +1,59 @@
-//! Users: jobs, submissions, polls and cancellations.
+//! Simulated users, who submit, poll and cancel jobs through a load balancer.
 
 use super::*;
 
-/// What a user was last told of a job.
+/// The state of a job that its user knows from the latest answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum KnownState {
-    Nothing,
+    /// No answer has confirmed the submission yet.
+    NotAccepted,
+    /// The job is accepted and has not ended.
     Accepted,
+    /// The job is done.
     Done,
+    /// The cancellation is confirmed.
     Cancelled,
 }
 
-/// What a user asks of a controller.
+/// The kind of a user's request to a controller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestKind {
+    /// Submits a job.
     Submit,
+    /// Asks for the state of a job.
     Poll,
+    /// Cancels a job.
     Cancel,
-    /// About a job that nobody submitted.
+    /// Asks for the state of a job that nobody submitted.
     Unknown,
-    /// To submit a job that must not be accepted.
+    /// Submits a job that must not be accepted.
     Invalid,
 }
 
-/// A job, and what its user knows of it.
+/// A job and what its user knows about it.
 pub struct UserJob {
     pub spec: JobSpec,
+    /// When its user first submits it.
     pub submit_at: u64,
+    /// From when its user asks for its cancellation, if ever.
     pub cancel_at: Option<u64>,
     pub known_state: KnownState,
+    /// When an answer last changed `known_state`.
     pub known_since: u64,
-    /// When a question about it was last answered.
-    pub(super) answered_at: u64,
-    /// The controller that its user is connected to.
+    /// When a request about it was last answered with its state.
+    pub(super) last_answered_at: u64,
+    /// The controller that its user has an open connection to.
     pub(super) node: Option<usize>,
+    /// When its first task started.
     pub first_start: Option<u64>,
+    /// Whether its user has asked for its cancellation.
     pub(super) cancel_asked: bool,
-    /// Since when a task of it waits beside room for it.
-    pub(super) waits_since: Option<u64>,
+    /// Since when it has had tasks to start while a suitable machine had room; `None` if not.
+    pub(super) starved_since: Option<u64>,
 }
 
 impl World {
+    /// Draws a job of one to eight tasks that is submitted within the first 90 s.
     pub(super) fn draw_job(&mut self, index: usize) -> UserJob {
         let rng = &mut self.rng;
         let tasks = rng.random_range(1..9);
@@ -65,17 +78,19 @@
             },
             submit_at,
             cancel_at: rng.random_bool(0.25).then(|| submit_at + rng.random_range(500..40_000)),
-            known_state: KnownState::Nothing,
+            known_state: KnownState::NotAccepted,
             known_since: 0,
-            answered_at: 0,
+            last_answered_at: 0,
             node: None,
             first_start: None,
             cancel_asked: false,
-            waits_since: None,
+            starved_since: None,
         }
     }
 
-    /// Adds a job made for a test.
+    /// Adds a job with the given specification, except that its id comes from its index.
+    ///
+    /// Its user never cancels it. Returns the index of the job.
     pub fn submit(&mut self, submit_at: u64, spec: JobSpec) -> usize {
         let index = self.jobs.len();
         let mut job = self.draw_job(index);
@@ -85,20 +100,20 @@
         };
         job.submit_at = submit_at;
         job.cancel_at = None;
-        self.at(submit_at, ScheduledEvent::User(index));
+        self.schedule(submit_at, ScheduledEvent::UserTurn(index));
         self.jobs.push(job);
         index
     }
 
-    /// Adds a job that fails on every machine, and whose user cancels it later.
+    /// Adds a job whose tasks fail on every machine and whose user cancels it at `cancel_at`.
     pub fn submit_always_failing(&mut self, submit_at: u64, cancel_at: u64, spec: JobSpec) -> usize {
         let index = self.submit(submit_at, spec);
         self.jobs[index].cancel_at = Some(cancel_at);
-        self.mistaken.insert(self.jobs[index].spec.id.clone());
+        self.always_failing_jobs.insert(self.jobs[index].spec.id.clone());
         index
     }
 
-    /// A job that may run anywhere.
+    /// Returns a job of one task that may run on any machine in any zone.
     pub fn plain_spec() -> JobSpec {
         JobSpec {
             id: String::new(),
@@ -124,7 +139,7 @@
         }
     }
 
-    /// Gives a drawn job another shape.
+    /// Changes a drawn job to `tasks` tasks of one CPU that may run in any zone.
     pub fn reshape(&mut self, index: usize, tasks: u32, cancel_at: Option<u64>) {
         let job = &mut self.jobs[index];
         job.spec.tasks = tasks;
@@ -135,24 +150,27 @@
         job.cancel_at = cancel_at;
     }
 
-    /// A user does what is next: submit, poll, cancel.
-    pub(super) fn user(&mut self, index: usize) {
+    /// Sends the next request of a job's user: a submission, a poll or a cancellation.
+    ///
+    /// The request is lost if the controller is isolated, down or frozen.
+    pub(super) fn send_user_request(&mut self, index: usize) {
         let (kind, user_request) = self.next_request_of_user(index);
         let node = self.connect_user(index);
-        if self.now < self.alone_until(node)
+        if self.now < self.isolated_until(node)
             || self.nodes[node].controller.is_none()
             || self.now < self.nodes[node].frozen_until
         {
             return;
         }
-        let request = self.expect(node, Waiting::User { job: index, kind });
-        self.step(node, Input::User { request, user_request });
+        let request = self.register_request(node, PendingRequest::User { job: index, kind });
+        self.step_controller(node, Input::User { request, user_request });
     }
 
+    /// Returns the next request of a job's user.
     fn next_request_of_user(&mut self, index: usize) -> (RequestKind, UserRequest) {
         let job = &mut self.jobs[index];
         let id = job.spec.id.clone();
-        if job.known_state == KnownState::Nothing {
+        if job.known_state == KnownState::NotAccepted {
             let body = serde_json::to_string(&job.spec).expect("json");
             return (RequestKind::Submit, UserRequest::Submit(body));
         }
@@ -160,24 +178,24 @@
             job.cancel_asked = true;
             return (RequestKind::Cancel, UserRequest::Cancel(id));
         }
-        // Now and then somebody asks about a job that nobody submitted.
+        // Some polls ask about a job that nobody submitted.
         if self.rng.random_bool(0.05) {
             return (RequestKind::Unknown, UserRequest::Show(format!("j-9{index:05}")));
         }
         (RequestKind::Poll, UserRequest::Show(id))
     }
 
-    /// The controller that the load balancer connects a user to.
+    /// Returns the controller that the load balancer connects a job's user to.
     fn connect_user(&mut self, index: usize) -> usize {
-        // The load balancer knows only which controllers say that they are well.
+        // The load balancer knows only the results of its health checks.
         let healthy: Vec<usize> = (0..self.nodes.len()).filter(|&node| self.nodes[node].healthy).collect();
-        // Open connections stay where they are while their controller is well.
+        // An open connection stays at its controller while that is healthy.
         let node = match self.jobs[index].node.filter(|node| healthy.contains(node)) {
             Some(node) => node,
             None if healthy.is_empty() => self.rng.random_range(0..self.nodes.len()),
             None => healthy[self.rng.random_range(0..healthy.len())],
         };
-        // Some users open a new one each time.
+        // The users of odd jobs open a new connection for each request.
         self.jobs[index].node = index.is_multiple_of(2).then_some(node);
         node
     }
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -1,74 +1,101 @@
-//! A simulated worker and its machine, by the published protocol.
+//! A simulated worker that follows the published worker protocol, and its machine.
 
 use std::collections::BTreeMap;
 use sumacbend::wire::{Command, DirectCommands, ExitReason, Report, ReportAnswer, TaskReport, TaskState};
 
-/// The run time of a task that fails on every machine.
-pub const FAILS: u64 = 0;
+/// A run time in milliseconds that marks a task as failing on every machine.
+pub const ALWAYS_FAILS_MS: u64 = 0;
 
-pub struct Running {
+/// An attempt of a task, as its worker knows it.
+pub struct WorkerTask {
     pub attempt: u64,
     pub state: TaskState,
+    /// Set once the attempt has exited.
     pub exit_reason: Option<ExitReason>,
-    /// When it leaves its present state by itself.
+    /// When it leaves its state without a command: the end of fetching, running or saving.
     pub until: u64,
+    /// How long it runs, in milliseconds.
     pub run_ms: u64,
 }
 
-impl Running {
+impl WorkerTask {
     fn exit(&mut self, exit_reason: ExitReason) {
         self.state = TaskState::Exited;
         self.exit_reason = Some(exit_reason);
     }
 }
 
+/// A worker agent and the rented machine that it runs on.
 pub struct Worker {
     pub name: String,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
+    /// When the machine was rented.
     pub requested_at: u64,
+    /// When the machine has booted.
     pub up_at: u64,
-    pub gone: bool,
+    /// Whether the machine was deleted or reclaimed.
+    pub terminated: bool,
+    /// Until when it and the controllers can't reach each other.
     pub cut_until: u64,
+    /// Until when answers and direct commands don't reach it.
     pub receives_nothing_until: u64,
+    /// Until when it reaches no controller.
     pub reaches_no_controller_until: u64,
+    /// Until when it executes and answers nothing.
     pub hung_until: u64,
+    /// Until when every task that starts on it fails.
     pub fails_tasks_until: u64,
+    /// The number of the agent's current run; a new one starts without tasks.
     pub agent_epoch: u64,
+    /// The sequence number of the last report.
     pub seq: u64,
+    /// The highest fencing token seen; commands with a lower one are refused.
     pub fencing_token: u64,
-    pub lease_from: u64,
+    /// When its lease was last renewed: the send time of the last acknowledged report.
+    pub lease_start: u64,
+    /// When the cloud takes the machine away.
     pub spot_reclaim_at: Option<u64>,
+    /// The controller that it reports to.
     pub node: usize,
-    pub report_out: Option<(u64, u64)>,
+    /// The id and send time of the report that waits for an answer.
+    pub report_in_flight: Option<(u64, u64)>,
+    /// When the next report is due.
     pub next_report: u64,
-    pub tasks: BTreeMap<String, Running>,
+    /// Its tasks by name, including exited ones that the controller has not yet told it to
+    /// forget.
+    pub tasks: BTreeMap<String, WorkerTask>,
 }
 
-/// What the rules look at.
+/// A change of a task on a worker that the rules are checked against.
 pub enum Effect {
+    /// The task has begun to run.
     Started { task: String },
-    Left { task: String, done: bool },
+    /// A task that ran or saved has ended; `done` if it succeeded.
+    Ended { task: String, done: bool },
 }
 
 impl Worker {
-    pub fn up(&self, now: u64) -> bool {
-        !self.gone && now >= self.up_at
+    /// Whether the machine has booted and is not terminated.
+    pub fn is_up(&self, now: u64) -> bool {
+        !self.terminated && now >= self.up_at
     }
 
-    /// Until when neither an answer nor a direct command is taken.
+    /// Returns until when neither answers nor direct commands reach the worker.
     pub fn unreachable_until(&self) -> u64 {
         self.cut_until.max(self.receives_nothing_until).max(self.hung_until)
     }
 
-    /// In reach, at work, and not about to go.
-    pub fn well(&self, now: u64) -> bool {
+    /// Whether the machine is up and reachable, doesn't fail its tasks, and is not about to be
+    /// reclaimed.
+    pub fn is_healthy(&self, now: u64) -> bool {
         let until = self.unreachable_until().max(self.reaches_no_controller_until);
-        self.up(now) && now >= until && now >= self.fails_tasks_until && self.spot_reclaim_at.is_none()
+        self.is_up(now) && now >= until && now >= self.fails_tasks_until && self.spot_reclaim_at.is_none()
     }
 
-    pub fn report(&mut self) -> Report {
+    /// Builds the next report, with a new sequence number.
+    pub fn build_report(&mut self) -> Report {
         self.seq += 1;
         Report {
             machine: self.name.clone(),
@@ -83,44 +110,45 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|(task, running)| TaskReport {
+                .map(|(task, worker_task)| TaskReport {
                     task: task.clone(),
-                    attempt: running.attempt,
-                    state: running.state,
-                    exit_reason: running.exit_reason,
+                    attempt: worker_task.attempt,
+                    state: worker_task.state,
+                    exit_reason: worker_task.exit_reason,
                 })
                 .collect(),
         }
     }
 
-    /// Time passes: leases expiry, fetches and runs end.
+    /// Advances the worker to `now`: an expired lease starts a new agent epoch, and fetching,
+    /// running and saving tasks reach their ends.
     pub fn advance(&mut self, now: u64, lease_ms: u64, effects: &mut Vec<Effect>) {
-        if now > self.lease_from + lease_ms {
-            self.next_session(now, effects);
+        if now > self.lease_start + lease_ms {
+            self.begin_epoch(now, effects);
         }
-        for (task, running) in &mut self.tasks {
-            if running.state == TaskState::Fetching && now >= running.until {
-                running.state = TaskState::Running;
-                running.until = now + running.run_ms;
+        for (task, worker_task) in &mut self.tasks {
+            if worker_task.state == TaskState::Fetching && now >= worker_task.until {
+                worker_task.state = TaskState::Running;
+                worker_task.until = now + worker_task.run_ms;
                 effects.push(Effect::Started { task: task.clone() });
-                if now < self.fails_tasks_until || running.run_ms == FAILS {
-                    running.exit(ExitReason::Error);
-                    effects.push(Effect::Left {
+                if now < self.fails_tasks_until || worker_task.run_ms == ALWAYS_FAILS_MS {
+                    worker_task.exit(ExitReason::Error);
+                    effects.push(Effect::Ended {
                         task: task.clone(),
                         done: false,
                     });
                 }
                 self.next_report = self.next_report.min(now + 200);
-            } else if running.state == TaskState::Running && now >= running.until {
-                running.exit(ExitReason::Done);
-                effects.push(Effect::Left {
+            } else if worker_task.state == TaskState::Running && now >= worker_task.until {
+                worker_task.exit(ExitReason::Done);
+                effects.push(Effect::Ended {
                     task: task.clone(),
                     done: true,
                 });
                 self.next_report = self.next_report.min(now + 200);
-            } else if running.state == TaskState::Saving && now >= running.until {
-                running.exit(ExitReason::Stopped);
-                effects.push(Effect::Left {
+            } else if worker_task.state == TaskState::Saving && now >= worker_task.until {
+                worker_task.exit(ExitReason::Stopped);
+                effects.push(Effect::Ended {
                     task: task.clone(),
                     done: false,
                 });
@@ -129,20 +157,24 @@
         }
     }
 
-    /// Drops all tasks and begins anew.
-    pub fn next_session(&mut self, now: u64, effects: &mut Vec<Effect>) {
-        for (task, running) in std::mem::take(&mut self.tasks) {
-            if matches!(running.state, TaskState::Running | TaskState::Saving) {
-                effects.push(Effect::Left { task, done: false });
+    /// Starts a new agent epoch without tasks and with a fresh lease.
+    pub fn begin_epoch(&mut self, now: u64, effects: &mut Vec<Effect>) {
+        for (task, worker_task) in std::mem::take(&mut self.tasks) {
+            if matches!(worker_task.state, TaskState::Running | TaskState::Saving) {
+                effects.push(Effect::Ended { task, done: false });
             }
         }
         self.agent_epoch += 1;
-        self.lease_from = now;
-        self.report_out = None;
+        self.lease_start = now;
+        self.report_in_flight = None;
         self.next_report = now;
     }
 
-    pub fn answer(
+    /// Applies the answer to the report sent at `sent` in `agent_epoch`: renews the lease and
+    /// executes the commands.
+    ///
+    /// Answers to another agent epoch or from a former leader are ignored.
+    pub fn apply_report_answer(
         &mut self,
         now: u64,
         agent_epoch: u64,
@@ -155,11 +187,15 @@
             return;
         }
         self.fencing_token = answer.fencing_token;
-        self.lease_from = self.lease_from.max(sent);
+        self.lease_start = self.lease_start.max(sent);
         self.execute(now, &answer.commands, run_ms, effects);
     }
 
-    pub fn direct(
+    /// Executes direct commands and returns whether they were accepted.
+    ///
+    /// Commands from a former leader or for another agent epoch are refused. After commands
+    /// from a new leader, the worker reports within 300 ms.
+    pub fn apply_direct_commands(
         &mut self,
         now: u64,
         commands: &DirectCommands,
@@ -183,11 +219,10 @@
                 Command::Start { task, attempt } => self.start(now, task, *attempt, run_ms(task)),
                 Command::Stop { task, attempt, grace_s } => self.stop(now, task, *attempt, *grace_s, effects),
                 Command::Forget { task, attempt } => {
-                    let over = self
-                        .tasks
-                        .get(task)
-                        .is_some_and(|running| running.attempt == *attempt && running.state == TaskState::Exited);
-                    if over {
+                    let exited = self.tasks.get(task).is_some_and(|worker_task| {
+                        worker_task.attempt == *attempt && worker_task.state == TaskState::Exited
+                    });
+                    if exited {
                         self.tasks.remove(task);
                     }
                 }
@@ -196,44 +231,44 @@
     }
 
     fn start(&mut self, now: u64, task: &str, attempt: u64, run_ms: u64) {
-        // Another attempt replaces a task only after its end.
-        let here = self.tasks.get(task);
-        if here.is_some_and(|running| running.attempt == attempt || running.state != TaskState::Exited) {
+        // A new attempt replaces an earlier one only after that has exited.
+        let present = self.tasks.get(task);
+        if present.is_some_and(|worker_task| worker_task.attempt == attempt || worker_task.state != TaskState::Exited) {
             return;
         }
-        let running = Running {
+        let worker_task = WorkerTask {
             attempt,
             state: TaskState::Fetching,
             exit_reason: None,
             until: now + 800,
             run_ms,
         };
-        self.tasks.insert(task.into(), running);
+        self.tasks.insert(task.into(), worker_task);
     }
 
     fn stop(&mut self, now: u64, task: &str, attempt: u64, grace_s: f64, effects: &mut Vec<Effect>) {
         let open = self
             .tasks
             .get_mut(task)
-            .filter(|running| running.attempt == attempt && running.state != TaskState::Exited);
-        let Some(running) = open else {
+            .filter(|worker_task| worker_task.attempt == attempt && worker_task.state != TaskState::Exited);
+        let Some(worker_task) = open else {
             return;
         };
-        // Only a job that saves is given time for it.
+        // Only jobs that save their progress are given a grace period.
         if grace_s > 0.0 {
-            if running.state == TaskState::Running {
-                running.state = TaskState::Saving;
-                running.until = now + (grace_s * 1_000.0) as u64;
+            if worker_task.state == TaskState::Running {
+                worker_task.state = TaskState::Saving;
+                worker_task.until = now + (grace_s * 1_000.0) as u64;
             }
             return;
         }
-        if matches!(running.state, TaskState::Running | TaskState::Saving) {
-            effects.push(Effect::Left {
+        if matches!(worker_task.state, TaskState::Running | TaskState::Saving) {
+            effects.push(Effect::Ended {
                 task: task.into(),
                 done: false,
             });
         }
-        running.exit(ExitReason::Stopped);
+        worker_task.exit(ExitReason::Stopped);
         self.next_report = self.next_report.min(now + 200);
     }
 }
