--- a/tests/rules/mistaken_jobs_and_backfill.rs
+++ b/tests/rules/mistaken_jobs_and_backfill.rs
@@ -101,7 +101,11 @@
             .count();
         assert!(cancelled >= 10, "seed {seed}: {cancelled} cancelled");
         // Alone and ever more rarely: ten jobs of eight tasks for 85 s.
-        assert!(world.failures < 400, "seed {seed}: {} failures", world.failures);
+        assert!(
+            world.always_failing_starts < 400,
+            "seed {seed}: {} failures",
+            world.always_failing_starts
+        );
         let rented = world.machines_rented();
         assert!(rented < 30, "seed {seed}: {rented} machines rented");
     }
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -18,7 +18,7 @@
             return;
         };
         let job = &self.jobs[index];
-        self.failures += u64::from(self.always_failing_jobs.contains(&job.spec.id));
+        self.always_failing_starts += u64::from(self.always_failing_jobs.contains(&job.spec.id));
         self.check_placement(index, machine, task);
         let job = &self.jobs[index];
         if job.known_state == KnownState::Cancelled {
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -151,7 +151,7 @@
     /// or agent.
     pub lost_tasks: u64,
     /// The number of task starts of jobs that always fail.
-    pub failures: u64,
+    pub always_failing_starts: u64,
     /// The number of task starts after the cancellation of the job was confirmed to its user.
     pub starts_after_cancel: u64,
     /// The longest time in milliseconds that a task stayed on a machine after the confirmed
--- a/tests/rules/world/setup.rs
+++ b/tests/rules/world/setup.rs
@@ -70,7 +70,7 @@
             violations: Vec::new(),
             starts: 0,
             lost_tasks: 0,
-            failures: 0,
+            always_failing_starts: 0,
             starts_after_cancel: 0,
             longest_run_after_cancel_ms: 0,
             sent: SentCounts::default(),
