--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -7,12 +7,12 @@
     pub(super) fn record_task_start(&mut self, machine: &str, task: &str) {
         self.starts += 1;
         let now = self.now;
-        let on = self.task_machines.entry(task.into()).or_default();
-        if !on.is_empty() {
+        let machines = self.task_machines.entry(task.into()).or_default();
+        if !machines.is_empty() {
             self.violations
-                .push(format!("ran_twice: {task} on {machine} and {on:?} at {now}"));
+                .push(format!("ran_twice: {task} on {machine} and {machines:?} at {now}"));
         }
-        on.insert(machine.into());
+        machines.insert(machine.into());
         let Some(index) = self.job_index_of_task(task) else {
             self.violations.push(format!("unknown_job: {task} belongs to no job"));
             return;
@@ -36,24 +36,24 @@
     /// Checks that a task starts only in a zone and on a kind of machine that its job allows.
     ///
     /// Covers the wanted zone, spot machines, jobs limited to one zone, and jobs spread over
-    /// zones.
+    /// zones, which may have at most half of their tasks (rounded up) in one zone.
     fn check_placement(&mut self, index: usize, machine: &str, task: &str) {
         let (now, job) = (self.now, &self.jobs[index]);
         let worker = &self.workers[machine];
         let spec = &job.spec;
         let allowed = spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone) && (spec.spot || !worker.spot);
         let prefix = format!("{}/", spec.id);
-        let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
+        let mut tasks_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
         for (_, machines) in self.task_machines.iter().filter(|(task, _)| task.starts_with(&prefix)) {
             for machine in machines {
-                *zones.entry(self.workers[machine].zone.as_str()).or_default() += 1;
+                *tasks_by_zone.entry(self.workers[machine].zone.as_str()).or_default() += 1;
             }
         }
-        let one_zone = !spec.one_zone || zones.len() <= 1;
-        let spread = !spec.spread || zones.values().all(|&count| count <= spec.tasks.div_ceil(2));
+        let one_zone = !spec.one_zone || tasks_by_zone.len() <= 1;
+        let spread = !spec.spread || tasks_by_zone.values().all(|&count| count <= spec.tasks.div_ceil(2));
         if !allowed || !one_zone || !spread {
             self.violations
-                .push(format!("wrong_place: {task} on {machine}, {zones:?} at {now}"));
+                .push(format!("wrong_place: {task} on {machine}, {tasks_by_zone:?} at {now}"));
         }
     }
 
@@ -86,9 +86,9 @@
             .jobs
             .iter()
             .filter(|job| job.known_state != KnownState::NotAccepted);
-        // Only jobs that are still open count. Users poll a job until it ends, and a job that
-        // has ended is answered without the state service: during an outage, such answers
-        // would make it look as if most jobs were answered.
+        // Only open jobs count: by the protocol, users poll a job until it ends. A job that has
+        // ended is answered without the state service, so during an outage such answers would
+        // make it look as if most jobs were answered.
         let open = known.clone().filter(|job| job.known_state == KnownState::Accepted);
         let answered = open.clone().filter(|job| now < job.last_answered_at + 10_000).count();
         let most_answered = answered * 2 > open.count();
@@ -134,7 +134,7 @@
             let starved = job.known_state == KnownState::Accepted
                 && job.cancel_at.is_none_or(|at| self.now < at)
                 && self.now > self.faults_end_at
-                && self.is_starved(job);
+                && self.has_startable_task(job);
             let job = &mut self.jobs[index];
             if !starved {
                 job.starved_since = None;
@@ -151,7 +151,7 @@
 
     /// Whether a task of the job could start now: the job has tasks left to start, its team is
     /// below its limit, and a healthy machine that the job allows has enough free CPUs.
-    fn is_starved(&self, job: &UserJob) -> bool {
+    fn has_startable_task(&self, job: &UserJob) -> bool {
         let spec = &job.spec;
         let mut tasks_by_zone: BTreeMap<&str, u32> = BTreeMap::new();
         let mut on_machines = 0;
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -59,14 +59,14 @@
             spot_reclaim_at: None,
             node,
             report_in_flight: None,
-            next_report: self.now + boot_ms,
+            next_report_at: self.now + boot_ms,
             tasks: BTreeMap::new(),
         }
     }
 
     /// Executes one request to the cloud and returns its reply.
     pub(super) fn handle_cloud_request(&mut self, request: &CloudRequest) -> CloudReply {
-        if self.now < self.ongoing.cloud_outage_until {
+        if self.now < self.ongoing_faults.cloud_outage_until {
             return CloudReply::Unavailable;
         }
         match request {
@@ -121,7 +121,7 @@
 
     /// Draws the boot time of a machine; some machines never come up during a run.
     fn draw_boot_ms(&mut self) -> u64 {
-        let slow = self.now < self.ongoing.slow_boots_until;
+        let slow = self.now < self.ongoing_faults.slow_boots_until;
         if self.rng.random_bool(if slow { 0.3 } else { 0.05 }) {
             10_000_000
         } else if slow {
--- a/tests/rules/world/direct_commands.rs
+++ b/tests/rules/world/direct_commands.rs
@@ -20,13 +20,13 @@
             .max(self.nodes[caller.node].worker_cut_until)
             .max(self.partitioned_from_machine_until(caller.node, &machine));
         let unreachable = self.now < cut;
-        if !unreachable && self.now < self.ongoing.delayed_commands_until && self.rng.random_bool(0.5) {
+        if !unreachable && self.now < self.ongoing_faults.delayed_commands_until && self.rng.random_bool(0.5) {
             self.delay_commands(caller, machine, commands);
             return;
         }
         let lost = unreachable || self.rng.random_bool(0.02);
         let arrival_delay = if lost {
-            self.give_worker_reply(caller, COMMAND_TIMEOUT_MS, WorkerReply::Unanswered);
+            self.schedule_worker_reply(caller, COMMAND_TIMEOUT_MS, WorkerReply::Unanswered);
             // Delivered late, possibly minutes after the timeout.
             let after_cut = if unreachable { cut - self.now } else { 0 };
             after_cut + self.rng.random_range(0..20_000)
@@ -45,7 +45,7 @@
     /// Delivers direct commands at once or seconds late, while their answer is lost: the
     /// controller sees a timeout in either case.
     fn delay_commands(&mut self, caller: Caller, machine: String, commands: DirectCommands) {
-        self.give_worker_reply(caller, COMMAND_TIMEOUT_MS, WorkerReply::Unanswered);
+        self.schedule_worker_reply(caller, COMMAND_TIMEOUT_MS, WorkerReply::Unanswered);
         let arrival_delay = if self.rng.random_bool(0.5) {
             5
         } else {
@@ -61,7 +61,7 @@
     }
 
     /// Schedules the reply of a worker for the run of the controller that made the call.
-    pub(super) fn give_worker_reply(&mut self, caller: Caller, after_ms: u64, reply: WorkerReply) {
+    pub(super) fn schedule_worker_reply(&mut self, caller: Caller, after_ms: u64, reply: WorkerReply) {
         let Caller {
             node,
             incarnation,
--- a/tests/rules/world/event_dispatch.rs
+++ b/tests/rules/world/event_dispatch.rs
@@ -77,7 +77,7 @@
             ScheduledEvent::Cloud { caller, request, reply } => {
                 let answer = self.handle_cloud_request(&request);
                 if reply {
-                    self.give_cloud_reply(caller, 20, answer);
+                    self.schedule_cloud_reply(caller, 20, answer);
                 }
             }
             ScheduledEvent::Direct {
@@ -89,7 +89,7 @@
                 let answer = self.deliver_direct_commands(&machine, &commands);
                 if reply {
                     let delay = self.draw_network_delay_ms();
-                    self.give_worker_reply(caller, delay, answer);
+                    self.schedule_worker_reply(caller, delay, answer);
                 }
             }
             _ => {}
--- a/tests/rules/world/fault.rs
+++ b/tests/rules/world/fault.rs
@@ -14,7 +14,8 @@
     CutFromPeers { node: usize, ms: u64 },
     /// The controller and the workers can't reach each other.
     CutFromWorkers { node: usize, ms: u64 },
-    /// The state service answers no controller; leases are extended when it ends.
+    /// The state service is unavailable to all controllers and keeps their watches open. Its
+    /// leases are renewed for their full time when the outage ends.
     StoreOutage { ms: u64 },
     /// The cloud refuses every request.
     CloudOutage { ms: u64 },
@@ -33,8 +34,8 @@
     AgentRestarts,
     /// Copies of reports arrive one second to several lease times late.
     DelayedDuplicateReports { ms: u64 },
-    /// The controller can't reach the state service and other controllers, but can reach
-    /// workers.
+    /// The controller can't reach the state service and other controllers, while workers and
+    /// users reach it.
     CutFromAllButWorkers { node: usize, ms: u64 },
     /// The controller ends and restarts within less than a second.
     QuickRestart { node: usize },
@@ -105,7 +106,7 @@
             | Fault::SouthIsolated { ms }
             | Fault::InvalidRequests { ms }
             | Fault::StoreSlow { ms } => *ms,
-            // A machine that boots at all is up 40 s after its request.
+            // By then, the last machine requested during the fault is up or has been given up.
             Fault::SlowBoots { ms } => ms + 40_000,
             Fault::DelayedTransactions { ms } | Fault::DelayedCommands { ms } => ms + 12_000,
             Fault::CancelRunningJobs { hang_ms } => *hang_ms,
--- a/tests/rules/world/fault_injection.rs
+++ b/tests/rules/world/fault_injection.rs
@@ -46,17 +46,17 @@
     fn inject_service_fault(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
-            Fault::StoreOutage { ms } => self.ongoing.store_outage_until = now + ms,
-            Fault::StoreSlow { ms } => self.ongoing.store_slow_until = now + ms,
-            Fault::DelayedTransactions { ms } => self.ongoing.delayed_transactions_until = now + ms,
-            Fault::CloudOutage { ms } => self.ongoing.cloud_outage_until = now + ms,
-            Fault::SlowBoots { ms } => self.ongoing.slow_boots_until = now + ms,
-            Fault::PeerMessagesDropped { ms } => self.ongoing.peer_messages_dropped_until = now + ms,
-            Fault::SouthIsolated { ms } => self.ongoing.south_isolated_until = now + ms,
-            Fault::DelayedDuplicateReports { ms } => self.ongoing.duplicate_reports_until = now + ms,
-            Fault::DelayedCommands { ms } => self.ongoing.delayed_commands_until = now + ms,
-            Fault::CancelAtEnd { ms } => self.ongoing.cancel_at_end_until = now + ms,
-            Fault::InvalidRequests { ms } => self.ongoing.invalid_requests_until = now + ms,
+            Fault::StoreOutage { ms } => self.ongoing_faults.store_outage_until = now + ms,
+            Fault::StoreSlow { ms } => self.ongoing_faults.store_slow_until = now + ms,
+            Fault::DelayedTransactions { ms } => self.ongoing_faults.delayed_transactions_until = now + ms,
+            Fault::CloudOutage { ms } => self.ongoing_faults.cloud_outage_until = now + ms,
+            Fault::SlowBoots { ms } => self.ongoing_faults.slow_boots_until = now + ms,
+            Fault::PeerMessagesDropped { ms } => self.ongoing_faults.peer_messages_dropped_until = now + ms,
+            Fault::SouthIsolated { ms } => self.ongoing_faults.south_isolated_until = now + ms,
+            Fault::DelayedDuplicateReports { ms } => self.ongoing_faults.duplicate_reports_until = now + ms,
+            Fault::DelayedCommands { ms } => self.ongoing_faults.delayed_commands_until = now + ms,
+            Fault::CancelAtEnd { ms } => self.ongoing_faults.cancel_at_end_until = now + ms,
+            Fault::InvalidRequests { ms } => self.ongoing_faults.invalid_requests_until = now + ms,
             other => unreachable!("{other:?} is not a fault of a service, the network or the users"),
         }
     }
--- a/tests/rules/world/heartbeat_reports.rs
+++ b/tests/rules/world/heartbeat_reports.rs
@@ -19,11 +19,11 @@
         self.check_users_answered();
         self.check_starvation();
         self.send_invalid_requests();
-        if self.now >= self.ongoing.store_outage_until && self.ongoing.store_outage_until > 0 {
-            self.ongoing.store_outage_until = 0;
+        if self.now >= self.ongoing_faults.store_outage_until && self.ongoing_faults.store_outage_until > 0 {
+            self.ongoing_faults.store_outage_until = 0;
             self.store.refresh_leases(self.now);
         }
-        if self.ongoing.store_outage_until == 0 {
+        if self.ongoing_faults.store_outage_until == 0 {
             self.store.expire_leases(self.now);
             self.answer_watches();
         }
@@ -81,18 +81,18 @@
     fn due_report(&mut self, name: &str) -> Option<(u64, Box<Report>)> {
         let (now, nodes) = (self.now, self.nodes.len());
         let worker = self.workers.get_mut(name)?;
-        if worker.report_in_flight.is_some() || now < worker.next_report {
+        if worker.report_in_flight.is_some() || now < worker.next_report_at {
             return None;
         }
-        self.next_report += 1;
-        let id = self.next_report;
+        self.last_report += 1;
+        let id = self.last_report;
         if now < worker.reaches_no_controller_until {
             // The connection is refused at once, so the worker tries the next controller.
             worker.try_next_controller(now, nodes);
             return None;
         }
         worker.report_in_flight = Some((id, now));
-        worker.next_report = now + REPORT_INTERVAL_MS;
+        worker.next_report_at = now + REPORT_INTERVAL_MS;
         Some((id, Box::new(worker.build_report())))
     }
 
@@ -110,7 +110,7 @@
         } else {
             self.draw_network_delay_ms()
         };
-        if now < self.ongoing.duplicate_reports_until && self.rng.random_bool(0.3) {
+        if now < self.ongoing_faults.duplicate_reports_until && self.rng.random_bool(0.3) {
             let node = self.rng.random_range(0..self.nodes.len());
             let late = self.rng.random_range(1_000..90_000);
             // No worker waits for the answer to a report with id 0.
@@ -136,6 +136,6 @@
     /// Directs the next report to the next controller, after `RETRY_MS`.
     pub fn try_next_controller(&mut self, now: u64, nodes: usize) {
         self.node = (self.node + 1) % nodes;
-        self.next_report = now + RETRY_MS;
+        self.next_report_at = now + RETRY_MS;
     }
 }
--- a/tests/rules/world/machines.rs
+++ b/tests/rules/world/machines.rs
@@ -67,11 +67,11 @@
             }
             421 => {
                 let redirect: Redirect = serde_json::from_str(&answer.body).expect("valid redirect");
-                let leader = redirect
+                let target = redirect
                     .report_to
                     .and_then(|name| name.strip_prefix('n').and_then(|n| n.parse().ok()));
-                worker.node = leader.unwrap_or((worker.node + 1) % nodes);
-                worker.next_report = now + if leader.is_some() { 100 } else { 1_000 };
+                worker.node = target.unwrap_or((worker.node + 1) % nodes);
+                worker.next_report_at = now + if target.is_some() { 100 } else { 1_000 };
             }
             _ => worker.try_next_controller(now, nodes),
         }
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -71,13 +71,17 @@
     clock_offset: u64,
     /// Speed of its monotonic clock relative to simulated time.
     clock_rate: f64,
+    /// Until when it can't reach the state service.
     store_cut_until: u64,
+    /// Until when it can't exchange messages with other controllers.
     peer_cut_until: u64,
+    /// Until when it and the workers can't reach each other.
     worker_cut_until: u64,
     /// Until when the state service answers its requests with 503.
     store_refuses_until: u64,
     /// Until when its reads of the state service get no answer.
     store_reads_lost_until: u64,
+    /// Until when the process is suspended.
     frozen_until: u64,
     /// Inputs that it still processes before the freeze takes effect.
     inputs_before_freeze: u32,
@@ -88,9 +92,11 @@
 /// The end of each ongoing fault of a service, the network or the users.
 #[derive(Default)]
 struct OngoingFaults {
+    /// Until when the state service is unavailable; 0 while there is no outage.
     store_outage_until: u64,
     /// Until when requests take 15 times as long to reach the state service.
     store_slow_until: u64,
+    /// Until when the cloud refuses every request.
     cloud_outage_until: u64,
     /// Until when controllers can't exchange messages.
     peer_messages_dropped_until: u64,
@@ -102,8 +108,11 @@
     delayed_commands_until: u64,
     /// Until when jobs are cancelled at the moment their last task ends.
     cancel_at_end_until: u64,
+    /// Until when users send invalid requests.
     invalid_requests_until: u64,
+    /// Until when the zone `south` is isolated.
     south_isolated_until: u64,
+    /// Until when new machines boot slowly or not at all.
     slow_boots_until: u64,
 }
 
@@ -121,7 +130,8 @@
     scheduled_events: BTreeMap<u64, ScheduledEvent>,
     nodes: Vec<Node>,
     store: Store,
-    ongoing: OngoingFaults,
+    /// Faults of services, the network and users that are under way.
+    ongoing_faults: OngoingFaults,
     /// Ids of jobs whose tasks fail on every machine until their users cancel them.
     always_failing_jobs: BTreeSet<String>,
     /// Watches of the state service that wait for a change.
@@ -130,13 +140,16 @@
     workers: BTreeMap<String, Worker>,
     /// Names of the machines rented for each machine request, by request id.
     machines_by_request: BTreeMap<String, Vec<String>>,
+    /// The number in the name of the next rented machine.
     next_machine: u32,
     /// All jobs of the run; the job at index `i` has the id `j-` and `i` in six digits.
     pub jobs: Vec<UserJob>,
     /// Requests to controllers that are not answered yet, by node and request number.
     pending_requests: BTreeMap<(usize, u64), PendingRequest>,
-    next_request: u64,
-    next_report: u64,
+    /// The number of the last request to a controller.
+    last_request: u64,
+    /// The id of the last heartbeat report.
+    last_report: u64,
     /// Since when most accepted jobs have had recent answers; `None` while they have not.
     most_answered_since: Option<u64>,
     /// The machines that each task is running or saving on; empty after it has ended.
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -93,7 +93,7 @@
             .peer_cut_until
             .max(self.nodes[to].peer_cut_until)
             .max(isolated);
-        if self.now < cut.max(self.ongoing.peer_messages_dropped_until) {
+        if self.now < cut.max(self.ongoing_faults.peer_messages_dropped_until) {
             return;
         }
         let (delay, incarnation) = (self.draw_network_delay_ms(), self.nodes[to].incarnation);
@@ -115,7 +115,7 @@
         let delay = self.rng.random_range(50..300);
         let lost = self.rng.random_bool(0.02);
         if lost {
-            self.give_cloud_reply(caller, 6_000, CloudReply::Unanswered);
+            self.schedule_cloud_reply(caller, 6_000, CloudReply::Unanswered);
         }
         let arrival_delay = if lost { self.rng.random_range(0..15_000) } else { delay };
         let arrival = ScheduledEvent::Cloud {
@@ -127,7 +127,7 @@
     }
 
     /// Schedules the reply of the cloud for the run of the controller that made the call.
-    pub(super) fn give_cloud_reply(&mut self, caller: Caller, after_ms: u64, reply: CloudReply) {
+    pub(super) fn schedule_cloud_reply(&mut self, caller: Caller, after_ms: u64, reply: CloudReply) {
         let Caller {
             node,
             incarnation,
@@ -146,15 +146,15 @@
 
     /// Registers a request to a controller that waits for an answer, and returns its number.
     pub(super) fn register_request(&mut self, node: usize, pending: PendingRequest) -> u64 {
-        self.next_request += 1;
-        self.pending_requests.insert((node, self.next_request), pending);
-        self.next_request
+        self.last_request += 1;
+        self.pending_requests.insert((node, self.last_request), pending);
+        self.last_request
     }
 
     /// Returns until when a controller is isolated together with the zone `south`.
     pub(super) fn isolated_until(&self, node: usize) -> u64 {
         if node == SOUTH_NODE {
-            self.ongoing.south_isolated_until
+            self.ongoing_faults.south_isolated_until
         } else {
             0
         }
@@ -166,7 +166,7 @@
         if (node == SOUTH_NODE) == south {
             0
         } else {
-            self.ongoing.south_isolated_until
+            self.ongoing_faults.south_isolated_until
         }
     }
 
--- a/tests/rules/world/scheduled_event.rs
+++ b/tests/rules/world/scheduled_event.rs
@@ -79,12 +79,8 @@
 pub(super) enum PendingRequest {
     /// A health check by the load balancer.
     Health,
-    User {
-        job: usize,
-        kind: RequestKind,
-    },
-    Report {
-        machine: String,
-        id: u64,
-    },
+    /// A request of a job's user.
+    User { job: usize, kind: RequestKind },
+    /// A heartbeat report.
+    Report { machine: String, id: u64 },
 }
--- a/tests/rules/world/setup.rs
+++ b/tests/rules/world/setup.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+/// The settings of every controller, before its name, peers and limits are filled in.
 const SETTINGS: &str = include_str!("../../support/settings.toml");
 
 impl World {
@@ -54,7 +55,7 @@
             scheduled_events: BTreeMap::new(),
             nodes,
             store: Store::default(),
-            ongoing: OngoingFaults::default(),
+            ongoing_faults: OngoingFaults::default(),
             always_failing_jobs: BTreeSet::new(),
             watches: Vec::new(),
             workers: BTreeMap::new(),
@@ -62,8 +63,8 @@
             next_machine: 0,
             jobs: Vec::new(),
             pending_requests: BTreeMap::new(),
-            next_request: 0,
-            next_report: 0,
+            last_request: 0,
+            last_report: 0,
             most_answered_since: None,
             task_machines: BTreeMap::new(),
             done_tasks: BTreeSet::new(),
@@ -100,6 +101,7 @@
 }
 
 impl Node {
+    /// Returns a controller that is not running yet, with a random clock.
     fn new(index: usize, rng: &mut StdRng) -> Node {
         Node {
             controller: None,
--- a/tests/rules/world/state_service.rs
+++ b/tests/rules/world/state_service.rs
@@ -27,7 +27,7 @@
             StoreRequest::Get(_) | StoreRequest::List { .. } | StoreRequest::Watch { .. }
         );
         if reads && self.now < node.store_reads_lost_until {
-            self.give_store_reply(caller, STORE_TIMEOUT_MS, StoreReply::Unanswered);
+            self.schedule_store_reply(caller, STORE_TIMEOUT_MS, StoreReply::Unanswered);
             return;
         }
         let cut = node.store_cut_until.max(self.isolated_until(caller.node));
@@ -51,23 +51,23 @@
             };
             self.schedule(arrival_at, arrival);
         }
-        self.give_store_reply(caller, STORE_TIMEOUT_MS, StoreReply::Unanswered);
+        self.schedule_store_reply(caller, STORE_TIMEOUT_MS, StoreReply::Unanswered);
     }
 
     /// Delivers a request, which may be delayed or lose its reply.
     fn deliver_to_store(&mut self, caller: Caller, request: StoreRequest) {
-        let slowdown = if self.now < self.ongoing.store_slow_until {
+        let slowdown = if self.now < self.ongoing_faults.store_slow_until {
             15
         } else {
             1
         };
         let delay = self.draw_network_delay_ms() * slowdown;
-        let delayed = self.now < self.ongoing.delayed_transactions_until
+        let delayed = self.now < self.ongoing_faults.delayed_transactions_until
             && matches!(request, StoreRequest::Transact(_))
             && self.rng.random_bool(0.33);
         let lost = delayed || self.rng.random_bool(0.003);
         if lost {
-            self.give_store_reply(caller, STORE_TIMEOUT_MS, StoreReply::Unanswered);
+            self.schedule_store_reply(caller, STORE_TIMEOUT_MS, StoreReply::Unanswered);
         }
         let arrival_delay = match (delayed, lost) {
             (true, _) => self.rng.random_range(2_000..12_000),
@@ -84,13 +84,13 @@
 
     /// Executes a request that reached the state service; a watch without changes is held open.
     pub(super) fn handle_store_request(&mut self, caller: Caller, request: StoreRequest, reply: bool) {
-        if self.now < self.ongoing.store_outage_until {
+        if self.now < self.ongoing_faults.store_outage_until {
             if let StoreRequest::Watch { wait_ms, .. } = &request
                 && *wait_ms > 0
             {
                 self.hold_watch(caller, *wait_ms, request);
             } else if reply {
-                self.give_store_reply(caller, 2, StoreReply::Unavailable);
+                self.schedule_store_reply(caller, 2, StoreReply::Unavailable);
             }
             return;
         }
@@ -104,7 +104,7 @@
         }
         if reply {
             let delay = self.draw_network_delay_ms();
-            self.give_store_reply(caller, delay, answer);
+            self.schedule_store_reply(caller, delay, answer);
         }
         self.answer_watches();
     }
@@ -118,7 +118,7 @@
     /// Answers open watches that have changes or whose wait is over, unless their controller is
     /// cut off.
     pub(super) fn answer_watches(&mut self) {
-        if self.now < self.ongoing.store_outage_until {
+        if self.now < self.ongoing_faults.store_outage_until {
             return;
         }
         for watch in std::mem::take(&mut self.watches) {
@@ -134,7 +134,7 @@
                 self.watches.push(watch);
             } else {
                 let delay = self.draw_network_delay_ms();
-                self.give_store_reply(watch.caller, delay, answer);
+                self.schedule_store_reply(watch.caller, delay, answer);
             }
         }
     }
@@ -144,12 +144,12 @@
         let delay = self.draw_network_delay_ms();
         match &request {
             StoreRequest::Watch { wait_ms, .. } if *wait_ms > 0 => self.hold_watch(caller, *wait_ms, request),
-            _ => self.give_store_reply(caller, delay, StoreReply::Unavailable),
+            _ => self.schedule_store_reply(caller, delay, StoreReply::Unavailable),
         }
     }
 
     /// Schedules the reply of the state service for the run of the controller that made the call.
-    fn give_store_reply(&mut self, caller: Caller, after_ms: u64, reply: StoreReply) {
+    fn schedule_store_reply(&mut self, caller: Caller, after_ms: u64, reply: StoreReply) {
         let Caller {
             node,
             incarnation,
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -15,7 +15,8 @@
     log: Vec<Event>,
     /// Time to live and expiry time of each lease, in milliseconds.
     leases: BTreeMap<u64, (u64, u64)>,
-    next_lease: u64,
+    /// The id of the lease granted last.
+    last_lease: u64,
 }
 
 impl Store {
@@ -79,9 +80,9 @@
             StoreRequest::List { prefix, after } => self.list(prefix, after),
             StoreRequest::Transact(transaction) => self.transact(transaction),
             StoreRequest::Grant { ttl_ms } => {
-                self.next_lease += 1;
-                self.leases.insert(self.next_lease, (*ttl_ms, now + ttl_ms));
-                StoreReply::Granted { lease: self.next_lease }
+                self.last_lease += 1;
+                self.leases.insert(self.last_lease, (*ttl_ms, now + ttl_ms));
+                StoreReply::Granted { lease: self.last_lease }
             }
             StoreRequest::Renew(lease) => match self.leases.get_mut(lease) {
                 Some((ttl, until)) => {
@@ -94,6 +95,7 @@
         }
     }
 
+    /// Returns one page of the keys that start with `prefix` and come after `after`.
     fn list(&self, prefix: &str, after: &str) -> StoreReply {
         let mut items = Vec::new();
         let mut more = false;
@@ -122,6 +124,7 @@
         })
     }
 
+    /// Returns the changes after revision `since` to keys that start with `prefix`.
     fn changes_since(&self, prefix: &str, since: u64) -> StoreReply {
         let events = self.log.iter().filter(|event| event.version > since);
         let events = events.filter(|event| {
@@ -144,6 +147,7 @@
         assert!(bytes <= 64 * 1024, "a transaction of {bytes} bytes");
     }
 
+    /// Applies all changes of a transaction if all its conditions hold, and none otherwise.
     fn transact(&mut self, transaction: &Transaction) -> StoreReply {
         Store::check_size(transaction);
         for change in &transaction.changes {
--- a/tests/rules/world/user_answers.rs
+++ b/tests/rules/world/user_answers.rs
@@ -82,7 +82,7 @@
     pub(super) fn maybe_cancel_at_end(&mut self, task: &str) {
         let Some(index) = self
             .job_index_of_task(task)
-            .filter(|_| self.now < self.ongoing.cancel_at_end_until)
+            .filter(|_| self.now < self.ongoing_faults.cancel_at_end_until)
         else {
             return;
         };
@@ -100,7 +100,7 @@
     /// During [`Fault::InvalidRequests`], repeats a submission, cancels a job that is done, or
     /// submits a job that no controller may accept.
     pub(super) fn send_invalid_requests(&mut self) {
-        if self.now >= self.ongoing.invalid_requests_until || self.jobs.is_empty() {
+        if self.now >= self.ongoing_faults.invalid_requests_until || self.jobs.is_empty() {
             return;
         }
         let index = self.rng.random_range(0..self.jobs.len());
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -32,6 +32,7 @@
 
 /// A job and what its user knows about it.
 pub struct UserJob {
+    /// The specification that its user submits.
     pub spec: JobSpec,
     /// When its user first submits it.
     pub submit_at: u64,
@@ -139,7 +140,8 @@
         }
     }
 
-    /// Changes a drawn job to `tasks` tasks of one CPU that may run in any zone.
+    /// Changes a drawn job to `tasks` tasks of one CPU that may run in any zone, and sets when
+    /// its user cancels it.
     pub fn reshape(&mut self, index: usize, tasks: u32, cancel_at: Option<u64>) {
         let job = &mut self.jobs[index];
         job.spec.tasks = tasks;
@@ -195,7 +197,7 @@
             None if healthy.is_empty() => self.rng.random_range(0..self.nodes.len()),
             None => healthy[self.rng.random_range(0..healthy.len())],
         };
-        // The users of odd jobs open a new connection for each request.
+        // Users of jobs with an odd index open a new connection for each request.
         self.jobs[index].node = index.is_multiple_of(2).then_some(node);
         node
     }
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -19,6 +19,7 @@
 }
 
 impl WorkerTask {
+    /// Marks the attempt as exited.
     fn exit(&mut self, exit_reason: ExitReason) {
         self.state = TaskState::Exited;
         self.exit_reason = Some(exit_reason);
@@ -53,7 +54,8 @@
     pub seq: u64,
     /// The highest fencing token seen; commands with a lower one are refused.
     pub fencing_token: u64,
-    /// When its lease was last renewed: the send time of the last acknowledged report.
+    /// The time from which its lease counts: the send time of the last acknowledged report, or the
+    /// start of the agent epoch.
     pub lease_start: u64,
     /// When the cloud takes the machine away.
     pub spot_reclaim_at: Option<u64>,
@@ -62,7 +64,7 @@
     /// The id and send time of the report that waits for an answer.
     pub report_in_flight: Option<(u64, u64)>,
     /// When the next report is due.
-    pub next_report: u64,
+    pub next_report_at: u64,
     /// Its tasks by name, including exited ones that the controller has not yet told it to
     /// forget.
     pub tasks: BTreeMap<String, WorkerTask>,
@@ -138,21 +140,21 @@
                         done: false,
                     });
                 }
-                self.next_report = self.next_report.min(now + 200);
+                self.next_report_at = self.next_report_at.min(now + 200);
             } else if worker_task.state == TaskState::Running && now >= worker_task.until {
                 worker_task.exit(ExitReason::Done);
                 effects.push(Effect::Ended {
                     task: task.clone(),
                     done: true,
                 });
-                self.next_report = self.next_report.min(now + 200);
+                self.next_report_at = self.next_report_at.min(now + 200);
             } else if worker_task.state == TaskState::Saving && now >= worker_task.until {
                 worker_task.exit(ExitReason::Stopped);
                 effects.push(Effect::Ended {
                     task: task.clone(),
                     done: false,
                 });
-                self.next_report = self.next_report.min(now + 200);
+                self.next_report_at = self.next_report_at.min(now + 200);
             }
         }
     }
@@ -167,7 +169,7 @@
         self.agent_epoch += 1;
         self.lease_start = now;
         self.report_in_flight = None;
-        self.next_report = now;
+        self.next_report_at = now;
     }
 
     /// Applies the answer to the report sent at `sent` in `agent_epoch`: renews the lease and
@@ -206,13 +208,14 @@
             return false;
         }
         if commands.fencing_token > self.fencing_token {
-            self.next_report = self.next_report.min(now + 300);
+            self.next_report_at = self.next_report_at.min(now + 300);
         }
         self.fencing_token = commands.fencing_token;
         self.execute(now, &commands.commands, run_ms, effects);
         true
     }
 
+    /// Executes commands in order.
     fn execute(&mut self, now: u64, commands: &[Command], run_ms: impl Fn(&str) -> u64, effects: &mut Vec<Effect>) {
         for command in commands {
             match command {
@@ -230,6 +233,7 @@
         }
     }
 
+    /// Starts to fetch the image of a task, which takes 800 ms.
     fn start(&mut self, now: u64, task: &str, attempt: u64, run_ms: u64) {
         // A new attempt replaces an earlier one only after that has exited.
         let present = self.tasks.get(task);
@@ -246,6 +250,7 @@
         self.tasks.insert(task.into(), worker_task);
     }
 
+    /// Stops an attempt: at once, or after it has saved its progress for `grace_s` seconds.
     fn stop(&mut self, now: u64, task: &str, attempt: u64, grace_s: f64, effects: &mut Vec<Effect>) {
         let open = self
             .tasks
@@ -269,6 +274,6 @@
             });
         }
         worker_task.exit(ExitReason::Stopped);
-        self.next_report = self.next_report.min(now + 200);
+        self.next_report_at = self.next_report_at.min(now + 200);
     }
 }
