--- a/src/persistence/inventory_groups.rs
+++ b/src/persistence/inventory_groups.rs
@@ -45,7 +45,7 @@
             return;
         }
         if group.members.is_empty() && group.version == 0 {
-            context.inventory.forget(ix);
+            context.inventory.remove_group(ix);
         } else {
             let written = add_group(ix, group, bytes, context, draft);
             draft.content.groups.push(written);
@@ -97,10 +97,10 @@
 pub(super) fn groups_committed(groups: Vec<WrittenGroup>, context: &mut WriteContext<'_>, revision: u64) {
     for WrittenGroup { group: ix, machines } in groups {
         if machines.is_empty() {
-            context.inventory.deleted(ix);
+            context.inventory.confirm_deletion(ix);
             continue;
         }
-        context.inventory.written(ix, revision);
+        context.inventory.confirm_write(ix, revision);
         for name in machines {
             mark_written(&name, context.workers);
         }
@@ -118,5 +118,5 @@
 pub(super) fn groups_not_applied(groups: &[WrittenGroup], context: &mut WriteContext<'_>) {
     context
         .inventory
-        .write_again(groups.iter().map(|written| written.group));
+        .retry_writes(groups.iter().map(|written| written.group));
 }
