--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -250,7 +250,8 @@
         self.tasks.insert(task.into(), worker_task);
     }
 
-    /// Stops an attempt: at once, or after it has saved its progress for `grace_s` seconds.
+    /// Stops an attempt at once, or after `grace_s` seconds of saving its progress. With a grace
+    /// period, an attempt that is not running is left as it is.
     fn stop(&mut self, now: u64, task: &str, attempt: u64, grace_s: f64, effects: &mut Vec<Effect>) {
         let open = self
             .tasks
