--- a/tests/rules/meetings/state_service_outages.rs
+++ b/tests/rules/meetings/state_service_outages.rs
@@ -2,7 +2,7 @@
 
 use super::{pick, run_meeting, seeds};
 use crate::LEADER;
-use crate::world::{CANCEL_MS, Fault, LEASE_MS, World};
+use crate::world::{CANCEL_DEADLINE_MS, Fault, LEASE_MS, World};
 use rand::Rng;
 
 /// The state service refuses the leader alone, jobs are cancelled through
@@ -14,7 +14,10 @@
 fn cancelled_jobs_stop_when_the_store_refuses_the_leader_and_then_is_out() {
     run_meeting(12, |rng| {
         let at = rng.random_range(40_000..60_000);
-        let outage = pick(rng, &[8_000, LEASE_MS - 3_000, LEASE_MS + 8_000, CANCEL_MS + 12_000]);
+        let outage = pick(
+            rng,
+            &[8_000, LEASE_MS - 3_000, LEASE_MS + 8_000, CANCEL_DEADLINE_MS + 12_000],
+        );
         let starts = at + rng.random_range(300..3_000);
         let refused_ms = pick(rng, &[1_000, outage / 2, outage + 1_000, outage + 12_000]);
         let mut faults = vec![
@@ -27,7 +30,7 @@
             ),
             (
                 at + rng.random_range(0..starts - at),
-                Fault::CancelNow {
+                Fault::CancelRunningJobs {
                     hang_ms: pick(rng, &[0, 0, 12_000, LEASE_MS]),
                 },
             ),
@@ -63,7 +66,7 @@
             ));
             faults.push((
                 at + 300,
-                Fault::CancelNow {
+                Fault::CancelRunningJobs {
                     hang_ms: pick(rng, &[0, 10_000]),
                 },
             ));
@@ -84,7 +87,7 @@
             (at, Fault::StoreSlow { ms: 40_000 }),
             (
                 at + 2_000,
-                Fault::CancelNow {
+                Fault::CancelRunningJobs {
                     hang_ms: pick(rng, &[0, 15_000]),
                 },
             ),
@@ -95,10 +98,12 @@
                     ms: rng.random_range(1_000..20_000),
                 },
             ),
-            (at + 9_200, Fault::CancelNow { hang_ms: 0 }),
+            (at + 9_200, Fault::CancelRunningJobs { hang_ms: 0 }),
             (
                 at + rng.random_range(10_000..14_000),
-                Fault::StoreOutage { ms: CANCEL_MS + 5_000 },
+                Fault::StoreOutage {
+                    ms: CANCEL_DEADLINE_MS + 5_000,
+                },
             ),
             (at + 70_000, Fault::DelayedTransactions { ms: 15_000 }),
         ]
@@ -119,7 +124,7 @@
                     0 => Fault::QuickRestart { node },
                     1 => Fault::StoreRefuses { node, ms: 6_000 },
                     2 => Fault::MachineReclaimed,
-                    _ => Fault::CancelNow { hang_ms: 0 },
+                    _ => Fault::CancelRunningJobs { hang_ms: 0 },
                 },
             ));
         }
@@ -134,7 +139,7 @@
     for seed in seeds(&[]) {
         let outage = vec![(45_000, Fault::StoreOutage { ms: 60_000 })];
         let mut world = World::new(seed, 5, 24, outage);
-        world.run_times = 12;
+        world.run_time_factor = 12;
         // Past what was being stopped for others when it began.
         world.run(49_000);
         let before = world.lost_tasks;
@@ -151,13 +156,13 @@
 fn a_leader_without_all_promises_stops() {
     run_meeting(12, |rng| {
         let at = rng.random_range(40_000..55_000);
-        let ms = CANCEL_MS + rng.random_range(5_000..20_000);
+        let ms = CANCEL_DEADLINE_MS + rng.random_range(5_000..20_000);
         let other = rng.random_range(0..3);
         vec![
             (at, Fault::StoreRefuses { node: LEADER, ms }),
             (
                 at + 200,
-                Fault::CancelNow {
+                Fault::CancelRunningJobs {
                     hang_ms: pick(rng, &[0, 12_000]),
                 },
             ),
@@ -168,7 +173,7 @@
                     0 => Fault::QuickRestart { node: other },
                     1 => Fault::CutFromPeers { node: other, ms },
                     2 => Fault::Freeze { node: other, ms: 9_000 },
-                    _ => Fault::PeersRefuse { ms: 8_000 },
+                    _ => Fault::PeerMessagesDropped { ms: 8_000 },
                 },
             ),
             (
--- a/tests/rules/mistaken_jobs_and_backfill.rs
+++ b/tests/rules/mistaken_jobs_and_backfill.rs
@@ -1,7 +1,7 @@
 //! What the operators' on-call staff met: backfill of a guest team beside urgent
 //! work, jobs submitted with a mistake, and machines that boot late or never.
 
-use crate::world::{Fault, Told, World};
+use crate::world::{Fault, KnownState, World};
 use crate::{LEADER, draw_fault, run_to_completion};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -50,7 +50,7 @@
     ] {
         let mut world = World::new(seed, 3, 0, faults);
         // Tasks run for up to five minutes, and each machine holds one or two.
-        world.run_times = 30;
+        world.run_time_factor = 30;
         for _ in 0..3 {
             world.submit(2_000, backfill(40));
         }
@@ -91,13 +91,21 @@
         };
         for index in 0..10 {
             let team = if index % 2 == 0 { "red" } else { "blue" };
-            world.submit_mistaken(5_000 + index * 700, 90_000, spec(team, 8));
+            world.submit_always_failing(5_000 + index * 700, 90_000, spec(team, 8));
         }
         let world = run_to_completion(world, seed, &faults);
-        let cancelled = world.jobs.iter().filter(|job| job.told == Told::Cancelled).count();
+        let cancelled = world
+            .jobs
+            .iter()
+            .filter(|job| job.known_state == KnownState::Cancelled)
+            .count();
         assert!(cancelled >= 10, "seed {seed}: {cancelled} cancelled");
         // Alone and ever more rarely: ten jobs of eight tasks for 85 s.
-        assert!(world.failures < 400, "seed {seed}: {} failures", world.failures);
+        assert!(
+            world.always_failing_starts < 400,
+            "seed {seed}: {} failures",
+            world.always_failing_starts
+        );
         let rented = world.machines_rented();
         assert!(rented < 30, "seed {seed}: {rented} machines rented");
     }
@@ -121,7 +129,7 @@
         let mut world = World::new(seed, nodes, 16, faults.clone());
         for _ in 0..rng.random_range(0..5) {
             let at = rng.random_range(2_000..60_000);
-            world.submit_mistaken(at, at + rng.random_range(1_000..80_000), urgent(6));
+            world.submit_always_failing(at, at + rng.random_range(1_000..80_000), urgent(6));
         }
         for _ in 0..rng.random_range(0..3) {
             let at = rng.random_range(2_000..60_000);
