--- a/tests/golden/operators.rs
+++ b/tests/golden/operators.rs
@@ -25,8 +25,8 @@
     writeln!(text, "kept_idle {}", connections.kept_idle).expect("writing to a string");
     writeln!(text, "in_flight {}", connections.in_flight).expect("writing to a string");
     writeln!(text, "backlog {}", connections.backlog).expect("writing to a string");
-    writeln!(text, "bodies_kib {}", settings.bodies_kib()).expect("writing to a string");
-    writeln!(text, "event_queue {}", settings.event_queue()).expect("writing to a string");
+    writeln!(text, "bodies_kib {}", settings.max_submissions_kib()).expect("writing to a string");
+    writeln!(text, "event_queue {}", settings.event_queue_capacity()).expect("writing to a string");
     for warning in settings.warnings() {
         writeln!(text, "warning {warning}").expect("writing to a string");
     }
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -37,8 +37,8 @@
     check_round_trip::<Page>("wire/page.txt");
     check_normalized::<Page>("wire/page_read.txt");
     check_round_trip::<Transaction>("wire/transaction.txt");
-    check_round_trip::<Revision>("wire/revision.txt");
-    check_normalized::<Revision>("wire/revision_read.txt");
+    check_round_trip::<TransactionAnswer>("wire/revision.txt");
+    check_normalized::<TransactionAnswer>("wire/revision_read.txt");
     check_round_trip::<LeaseRequest>("wire/lease_request.txt");
     check_round_trip::<LeaseAnswer>("wire/lease_answer.txt");
     check_normalized::<LeaseAnswer>("wire/lease_answer_read.txt");
@@ -72,7 +72,7 @@
     check_required_fields::<Page>("wire/page.txt", &["more"]);
     check_required_fields::<MachineList>("wire/machine_list.txt", &["more"]);
     check_required_fields::<Entry>("wire/entry.txt", &[]);
-    check_required_fields::<Revision>("wire/revision.txt", &[]);
+    check_required_fields::<TransactionAnswer>("wire/revision.txt", &[]);
     check_required_fields::<LeaseAnswer>("wire/lease_answer.txt", &[]);
     check_required_fields::<Log>("wire/log.txt", &[]);
     check_required_fields::<Catalogue>("wire/catalogue.txt", &[]);
--- a/tests/rules/meetings/cancellations.rs
+++ b/tests/rules/meetings/cancellations.rs
@@ -2,7 +2,7 @@
 
 use super::{pick, run_meeting};
 use crate::LEADER;
-use crate::world::{CANCEL_MS, Fault, LEASE_MS};
+use crate::world::{CANCEL_DEADLINE_MS, Fault, LEASE_MS};
 use rand::Rng;
 
 /// A leader keeps only its workers and users while jobs are cancelled through
@@ -11,11 +11,11 @@
 fn a_leader_cut_from_all_but_workers_and_users_while_jobs_are_cancelled() {
     run_meeting(10, |rng| {
         let at = rng.random_range(35_000..60_000);
-        let ms = pick(rng, &[6_000, LEASE_MS, CANCEL_MS + 20_000]);
+        let ms = pick(rng, &[6_000, LEASE_MS, CANCEL_DEADLINE_MS + 20_000]);
         let mut faults = vec![(at, Fault::CutFromAllButWorkers { node: LEADER, ms })];
         for _ in 0..3 {
             let hang_ms = pick(rng, &[0, 9_000, LEASE_MS]);
-            faults.push((at + rng.random_range(0..12_000), Fault::CancelNow { hang_ms }));
+            faults.push((at + rng.random_range(0..12_000), Fault::CancelRunningJobs { hang_ms }));
         }
         faults.push((at + ms, Fault::CutFromAllButWorkers { node: LEADER, ms }));
         faults
@@ -62,20 +62,23 @@
 fn a_leader_whose_reads_are_lost_while_jobs_are_cancelled() {
     let played = run_meeting(15, |rng| {
         let at = rng.random_range(30_000..50_000);
-        let ms = CANCEL_MS + rng.random_range(10_000..30_000);
+        let ms = CANCEL_DEADLINE_MS + rng.random_range(10_000..30_000);
         vec![
             (at, Fault::ReadsLost { node: LEADER, ms }),
             (
                 at + 500,
-                Fault::CancelNow {
+                Fault::CancelRunningJobs {
                     hang_ms: pick(rng, &[0, 10_000]),
                 },
             ),
-            (at + rng.random_range(1_000..20_000), Fault::CancelNow { hang_ms: 0 }),
+            (
+                at + rng.random_range(1_000..20_000),
+                Fault::CancelRunningJobs { hang_ms: 0 },
+            ),
         ]
     });
     // The watch cache's age, the lease of the claim, a take-over, a round of reports.
-    let longest = played.iter().map(|world| world.longest_cancelled).max();
+    let longest = played.iter().map(|world| world.longest_run_after_cancel_ms).max();
     assert!(
         longest.is_some_and(|ms| ms > 0 && ms < 5_000 + 4_000 + 2_000 + 4_000),
         "{longest:?}"
--- a/tests/rules/rule_checks.rs
+++ b/tests/rules/rule_checks.rs
@@ -1,7 +1,7 @@
 //! The checks themselves: each reports a fault that is put in on purpose.
 
 use crate::run_to_completion;
-use crate::world::{CANCEL_MS, RequestKind, Told, World};
+use crate::world::{CANCEL_DEADLINE_MS, KnownState, RequestKind, World};
 
 /// A world without controllers in which one job is known to its user.
 fn accepted(tasks: u32) -> World {
@@ -9,7 +9,7 @@
     let mut spec = World::plain_spec();
     spec.tasks = tasks;
     let job = world.submit(0, spec);
-    world.tell(job, Told::Accepted);
+    world.set_known_state(job, KnownState::Accepted);
     world.add_machine("host-0", "north");
     world.add_machine("host-1", "south");
     world
@@ -22,9 +22,9 @@
 #[test]
 fn a_task_on_two_machines_is_reported() {
     let mut world = accepted(1);
-    world.begins("host-0", "j-000000/0");
+    world.start_task("host-0", "j-000000/0");
     assert!(world.violations.is_empty());
-    world.begins("host-1", "j-000000/0");
+    world.start_task("host-1", "j-000000/0");
     assert!(violates(&world, "ran_twice"));
 }
 
@@ -32,10 +32,10 @@
 fn a_team_beyond_its_limit_is_reported() {
     let mut world = accepted(25);
     for task in 0..24 {
-        world.begins("host-0", &format!("j-000000/{task}"));
+        world.start_task("host-0", &format!("j-000000/{task}"));
     }
     assert!(world.violations.is_empty());
-    world.begins("host-0", "j-000000/24");
+    world.start_task("host-0", "j-000000/24");
     assert!(violates(&world, "quota"));
 }
 
@@ -43,9 +43,9 @@
 fn a_task_in_a_zone_that_its_job_does_not_allow_is_reported() {
     let mut world = accepted(2);
     world.jobs[0].spec.one_zone = true;
-    world.begins("host-0", "j-000000/0");
+    world.start_task("host-0", "j-000000/0");
     assert!(world.violations.is_empty());
-    world.begins("host-1", "j-000000/1");
+    world.start_task("host-1", "j-000000/1");
     assert!(violates(&world, "wrong_place"));
 }
 
@@ -54,30 +54,30 @@
 fn a_cancelled_task_that_stays_is_reported() {
     for hangs in [false, true] {
         let mut world = accepted(1);
-        world.begins("host-0", "j-000000/0");
+        world.start_task("host-0", "j-000000/0");
         if hangs {
-            world.hang("host-0", 10 * CANCEL_MS);
+            world.hang("host-0", 10 * CANCEL_DEADLINE_MS);
         }
-        world.tell(0, Told::Cancelled);
-        world.now += CANCEL_MS;
+        world.set_known_state(0, KnownState::Cancelled);
+        world.now += CANCEL_DEADLINE_MS;
         world.check_cancelled();
         assert!(world.violations.is_empty());
         world.now += 1;
         world.check_cancelled();
         assert!(violates(&world, "ran_cancelled"));
-        assert_eq!(world.longest_cancelled, CANCEL_MS + 1);
+        assert_eq!(world.longest_run_after_cancel_ms, CANCEL_DEADLINE_MS + 1);
     }
 }
 
 #[test]
 fn a_start_after_a_confirmed_cancellation_is_counted_and_a_late_one_reported() {
     let mut world = accepted(2);
-    world.tell(0, Told::Cancelled);
-    world.begins("host-0", "j-000000/0");
+    world.set_known_state(0, KnownState::Cancelled);
+    world.start_task("host-0", "j-000000/0");
     assert_eq!(world.starts_after_cancel, 1);
     assert!(world.violations.is_empty());
-    world.now += CANCEL_MS + 1;
-    world.begins("host-0", "j-000000/1");
+    world.now += CANCEL_DEADLINE_MS + 1;
+    world.start_task("host-0", "j-000000/1");
     assert!(violates(&world, "ran_cancelled"));
 }
 
@@ -85,10 +85,10 @@
 fn a_job_of_which_nothing_is_said_is_reported() {
     let mut world = accepted(1);
     world.now += 75_000;
-    world.check_known();
+    world.check_users_answered();
     assert!(world.violations.is_empty());
     world.now += 1;
-    world.check_known();
+    world.check_users_answered();
     assert!(violates(&world, "forgotten"));
 }
 
@@ -100,15 +100,15 @@
         world.faults_end_at = u64::MAX / 2;
         for _ in 0..2 {
             let other = world.submit(0, World::plain_spec());
-            world.tell(other, Told::Accepted);
+            world.set_known_state(other, KnownState::Accepted);
         }
         for _ in 0..92 {
             world.now += 1_000;
             if alone {
-                world.tell(1, Told::Accepted);
-                world.tell(2, Told::Accepted);
+                world.set_known_state(1, KnownState::Accepted);
+                world.set_known_state(2, KnownState::Accepted);
             }
-            world.check_known();
+            world.check_users_answered();
         }
         assert_eq!(violates(&world, "forgotten"), alone, "{:?}", world.violations);
     }
@@ -118,12 +118,12 @@
 fn a_job_that_waits_beside_room_is_reported() {
     let mut world = accepted(2);
     world.now += 1_000;
-    world.check_waiting();
+    world.check_starvation();
     world.now += 90_000;
-    world.check_waiting();
+    world.check_starvation();
     assert!(world.violations.is_empty());
     world.now += 1;
-    world.check_waiting();
+    world.check_starvation();
     assert!(violates(&world, "waiting"));
     // Not where the team is at its limit, or nothing fits.
     for (cpus, zone) in [(25.0, None), (1.0, Some("east".to_string()))] {
@@ -132,7 +132,7 @@
         world.jobs[0].spec.zone = zone;
         for _ in 0..3 {
             world.now += 91_000;
-            world.check_waiting();
+            world.check_starvation();
         }
         assert!(world.violations.is_empty(), "{:?}", world.violations);
     }
@@ -141,11 +141,11 @@
 #[test]
 fn a_largest_job_that_begins_late_is_reported() {
     let mut world = accepted(9);
-    world.check_largest();
+    world.check_largest_jobs();
     assert!(violates(&world, "late"));
     let mut world = accepted(9);
-    world.begins("host-0", "j-000000/0");
-    world.check_largest();
+    world.start_task("host-0", "j-000000/0");
+    world.check_largest_jobs();
     assert!(world.violations.is_empty());
 }
 
@@ -185,7 +185,7 @@
     ] {
         let mut world = accepted(1);
         world.now += 10;
-        world.is_answered(0, kind, status, &body);
+        world.deliver_user_answer(0, kind, status, &body);
         assert!(violates(&world, rule), "{rule}: {:?}", world.violations);
     }
 }
