--- a/src/placement/machine_view/image_caches.rs
+++ b/src/placement/machine_view/image_caches.rs
@@ -15,8 +15,8 @@
     /// For each image, its state on the machine of each slot.
     states: BTreeMap<ImageIx, Vec<ImageState>>,
     /// For each image, shapes for which no machine that has the image cached (cache holder) has
-    /// room.
-    /// Entries stay valid until another machine starts to fetch the image.
+    /// room. Room only shrinks within a round, so entries stay valid until another machine
+    /// starts to fetch the image.
     too_large_for_holders: BTreeMap<ImageIx, Vec<Shape>>,
 }
 
@@ -44,7 +44,7 @@
             .map_or(ImageState::Missing, |states| states[slot])
     }
 
-    /// Records that the machine of this slot fetches the image.
+    /// Records that the machine of this slot has the image cached or is fetching it.
     pub fn mark_cached(&mut self, image: ImageIx, slot: usize) {
         if let Some(states) = self.states.get_mut(&image)
             && std::mem::replace(&mut states[slot], ImageState::Cached) == ImageState::Missing
--- a/src/placement/machine_view/mod.rs
+++ b/src/placement/machine_view/mod.rs
@@ -162,8 +162,8 @@
         }
     }
 
-    /// Subtracts a task's resources from a slot's room and records that the machine fetches
-    /// the task's image.
+    /// Subtracts a task's resources from a slot's room and records that the machine has the
+    /// task's image cached or is fetching it.
     pub fn assign(&mut self, slot: usize, resources: Resources, image: ImageIx) {
         self.image_caches.mark_cached(image, slot);
         self.slots[slot].free.subtract(resources);
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -6,6 +6,9 @@
 //! chosen by Pheromone's Algorithm 1, which prefers machines that have the task's image
 //! cached. Preemption stops running tasks to make room for jobs of higher priority that
 //! find none.
+//!
+//! Pheromone is the system described in "Pheromone: Restructuring Serverless Computing With
+//! Data-Centric Function Orchestration".
 
 mod choice;
 mod context;
--- a/src/placement/opening.rs
+++ b/src/placement/opening.rs
@@ -10,7 +10,7 @@
 
 impl PlacementContext<'_> {
     /// Opens an attempt of a task on a machine. The attempt starts once its chunk is written to
-    /// the store. Returns that chunk, or `None` if the job or the machine is not known.
+    /// the state service. Returns that chunk, or `None` if the job or the machine is not known.
     pub fn open_attempt(&mut self, job_ix: JobIx, task: u32, machine_ix: MachineIx) -> Option<ChunkId> {
         let job = self.jobs.table.get_mut(job_ix)?;
         let machine = self.workers.machines.get_mut(machine_ix)?;
--- a/src/placement/order.rs
+++ b/src/placement/order.rs
@@ -35,11 +35,12 @@
 }
 
 /// The sort key of a job in the order of placement. Fields are compared in the order of
-/// their declaration, and the smallest key is served first. Jobs with age priority rank above
-/// all others: they count as guaranteed production jobs that can meet their deadlines.
+/// their declaration, and the smallest key is served first. Jobs with age priority are ordered
+/// like guaranteed production jobs that can meet their deadlines.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SortKey {
-    /// Whether the job exceeds the guarantee of its team.
+    /// Whether the job does not fit into the guarantee of its team together with the team's
+    /// earlier jobs.
     beyond_guarantee: bool,
     /// The highest priority is served first.
     priority: Reverse<Priority>,
@@ -69,8 +70,8 @@
 /// Returns the jobs that fit into their team's guarantee together with the team's earlier
 /// active jobs. They are served before jobs that exceed the guarantee of their team.
 fn guaranteed_jobs(jobs: &Jobs) -> BTreeSet<JobIx> {
-    let live = jobs.table.iter().filter(|(_, job)| job.is_active());
-    let mut by_arrival: Vec<(Millis, JobIx)> = live.map(|(ix, job)| (job.accepted_ms, ix)).collect();
+    let active = jobs.table.iter().filter(|(_, job)| job.is_active());
+    let mut by_arrival: Vec<(Millis, JobIx)> = active.map(|(ix, job)| (job.accepted_ms, ix)).collect();
     by_arrival.sort_unstable();
     let mut used = vec![Resources::default(); jobs.team_quotas.len()];
     let mut guaranteed = BTreeSet::new();
--- a/src/placement/preemption/candidates.rs
+++ b/src/placement/preemption/candidates.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns the loss of the first victim in CPU seconds, or 0 without victims.
-    fn least_loss(&self) -> f64 {
+    fn first_victim_loss(&self) -> f64 {
         self.victims.first().map_or(0.0, |victim| victim.loss)
     }
 
@@ -74,12 +74,13 @@
 }
 
 /// Returns the machines on which a task could be stopped for one of these jobs, or is being
-/// stopped. The machine whose first victim has the smallest loss comes first.
-pub fn find_candidates(cluster: &Cluster<'_>, short_jobs: &[JobIx]) -> Vec<Candidate> {
-    let short = short_jobs.iter().filter_map(|&ix| cluster.jobs.table.get(ix));
+/// stopped. They are ordered by the loss of their first victim, the smallest first, which
+/// counts as 0 for a machine without victims.
+pub fn find_candidates(cluster: &Cluster<'_>, jobs_short_of_room: &[JobIx]) -> Vec<Candidate> {
+    let jobs = jobs_short_of_room.iter().filter_map(|&ix| cluster.jobs.table.get(ix));
     let mut search = CandidateSearch {
         cluster,
-        highest_priority: short.map(Job::priority).max(),
+        highest_priority: jobs.map(Job::priority).max(),
         by_machine: BTreeMap::new(),
     };
     for (_, job) in cluster.jobs.table.iter() {
@@ -89,7 +90,7 @@
     for candidate in &mut candidates {
         candidate.sort_victims();
     }
-    candidates.sort_by(|a, b| a.least_loss().total_cmp(&b.least_loss()));
+    candidates.sort_by(|a, b| a.first_victim_loss().total_cmp(&b.first_victim_loss()));
     candidates
 }
 
--- a/src/placement/preemption/mod.rs
+++ b/src/placement/preemption/mod.rs
@@ -26,7 +26,8 @@
 /// don't all arrive at once.
 const MAX_STOPS: usize = 200;
 /// The shortest time between two rounds of preemption, in milliseconds. A stop takes effect
-/// within about a second; jobs that are still short of room by then are considered again.
+/// within about a second. A job that is still short of room is considered again in each round,
+/// where the room of tasks already being stopped counts as free.
 pub const PREEMPTION_INTERVAL_MS: Millis = 500;
 
 /// Chooses the tasks that are stopped to make room for jobs of higher priority.
@@ -46,12 +47,12 @@
             return Vec::new();
         }
         self.last_round_at = now;
-        let short_jobs = jobs_short_of_room(cluster);
-        if short_jobs.is_empty() {
+        let jobs_short_of_room = jobs_short_of_room(cluster);
+        if jobs_short_of_room.is_empty() {
             return Vec::new();
         }
-        let candidates = find_candidates(cluster, &short_jobs);
-        let demands = demands(cluster, &short_jobs, &candidates);
+        let candidates = find_candidates(cluster, &jobs_short_of_room);
+        let demands = demands(cluster, &jobs_short_of_room, &candidates);
         choose_victims(candidates, demands, MAX_STOPS)
     }
 }
@@ -99,11 +100,11 @@
 
 /// Returns the room that is still needed by each job with a higher priority than at least one
 /// possible victim, within the limits of the teams.
-fn demands(cluster: &Cluster<'_>, short_jobs: &[JobIx], candidates: &[Candidate]) -> Vec<Demand> {
+fn demands(cluster: &Cluster<'_>, jobs_short_of_room: &[JobIx], candidates: &[Candidate]) -> Vec<Demand> {
     let victims = candidates.iter().flat_map(|candidate| &candidate.victims);
     let lowest_priority = victims.map(|victim| victim.priority).min();
-    let short = short_jobs.iter().filter_map(|&ix| cluster.jobs.table.get(ix));
-    let outranking = short.filter(|job| lowest_priority.is_some_and(|lowest| lowest < job.priority()));
+    let jobs = jobs_short_of_room.iter().filter_map(|&ix| cluster.jobs.table.get(ix));
+    let outranking = jobs.filter(|job| lowest_priority.is_some_and(|lowest| lowest < job.priority()));
     let mut teams = cluster.jobs.team_quotas.clone();
     let mut demands = Vec::new();
     for job in outranking {
--- a/src/placement/preemption/victims.rs
+++ b/src/placement/preemption/victims.rs
@@ -1,4 +1,5 @@
-//! Chooses the tasks to stop, on a copy of the data that this needs.
+//! Chooses the tasks to stop. Works on copies of the cluster's state (the candidates and the
+//! demands) and does not change the cluster.
 
 use super::candidates::Candidate;
 use super::demand::Demand;
--- a/src/placement/preemption/victims/tests.rs
+++ b/src/placement/preemption/victims/tests.rs
@@ -100,12 +100,12 @@
     })
 }
 
-/// Reference implementation of [`choose_victims`] that serves one task at a time and records
-/// nothing between tasks. `wanted` holds the CPUs of a task and the number of tasks for each
+/// Reference implementation of [`choose_victims`] that serves one task at a time and repeats
+/// the search for each of them. `wanted` holds the CPUs of a task and the number of tasks for each
 /// demand.
 fn choose_task_by_task(mut candidates: Vec<Candidate>, wanted: &[(u32, u32)]) -> Vec<AttemptIx> {
     let mut stops = Vec::new();
-    let mut short = Vec::new();
+    let mut unplaced = Vec::new();
     for &(cpus, count) in wanted {
         for _ in 0..count {
             match candidates
@@ -113,11 +113,11 @@
                 .find(|candidate| candidate.free.fits(resources(cpus)))
             {
                 Some(candidate) => candidate.free.subtract(resources(cpus)),
-                None => short.push(cpus),
+                None => unplaced.push(cpus),
             }
         }
     }
-    for cpus in short {
+    for cpus in unplaced {
         let needed = |candidate: &Candidate| victims_needed(candidate, cpus);
         let holders = candidates
             .iter()
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -13,8 +13,8 @@
 /// The most attempts that one round plans, which bounds the duration of a round.
 const MAX_STARTS: usize = 200;
 
-/// Plans attempts for tasks that may start. Returns the chunks that have to be written
-/// to the store before these attempts start.
+/// Plans attempts for tasks that may start. Returns the chunks that have to be written to the
+/// state service before these attempts start.
 pub fn place(context: PlacementContext<'_>) -> Vec<ChunkId> {
     Round::new(context).run()
 }
--- a/src/placement/zones.rs
+++ b/src/placement/zones.rs
@@ -6,6 +6,9 @@
 
 /// Returns the zones in which one more task of the job may run now, given where its open tasks
 /// are. Returns `None` if the job has no such rule and all zones are allowed.
+///
+/// A job restricted to one zone stays in the zone of its open tasks. A job that is spread over
+/// zones has at most half of its tasks, rounded up, open in the same zone.
 pub fn allowed_zones(cluster: &Cluster<'_>, job: &Job) -> Option<Vec<ZoneIx>> {
     if !job.zones_depend_on_open_tasks() {
         return None;
