--- a/src/pipeline/chunk.rs
+++ b/src/pipeline/chunk.rs
@@ -3,18 +3,18 @@
 use crate::Millis;
 use serde::{Deserialize, Serialize, Serializer};
 
-/// The share of the service's value size limit that a chunk's value is planned to use. The
-/// rest is left for machine names that are longer than usual.
-const VALUE_SIZE_SHARE: f64 = 0.8;
+/// The share of the state service's size limit for a value that a chunk's value is planned to
+/// fill. The rest is a margin for long machine names.
+const VALUE_FILL_SHARE: f64 = 0.8;
 /// The assumed size of one open attempt in a chunk's value, in bytes.
 const OPEN_RECORD_BYTES: f64 = 52.0;
 const MIN_TASKS_PER_CHUNK: u32 = 8;
 const MAX_TASKS_PER_CHUNK: u32 = 240;
 
 /// Returns how many tasks a chunk holds, so that its value stays within the size limit of the
-/// service even if all of them are open. `value_kb` is that limit in KiB.
+/// state service even if all of them are open. `value_kb` is that limit in KiB.
 pub fn tasks_per_chunk(value_kb: f64) -> u32 {
-    let tasks = value_kb * 1024.0 * VALUE_SIZE_SHARE / OPEN_RECORD_BYTES;
+    let tasks = value_kb * 1024.0 * VALUE_FILL_SHARE / OPEN_RECORD_BYTES;
     (tasks as u32).clamp(MIN_TASKS_PER_CHUNK, MAX_TASKS_PER_CHUNK)
 }
 
--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -15,8 +15,8 @@
 /// A job with waiting tasks is starving if none of its tasks has been placed for this long.
 /// One of its tasks is then placed before all other jobs.
 const STARVATION_MS: Millis = 100_000;
-/// A job older than this precedes all younger ones, whatever their priority. The order by
-/// priority and deadline alone could delay it forever.
+/// A job older than this is ordered like a guaranteed production job, whatever its own priority.
+/// The order by priority and deadline alone could delay it forever.
 const AGE_PRIORITY_MS: Millis = 300_000;
 /// How long a job that is short of room keeps avoiding machines that have room, because its
 /// tasks failed on them or because they list an earlier attempt.
@@ -90,12 +90,14 @@
     /// clock, in the order of these times.
     pub retry_queue: VecDeque<(Millis, u32)>,
     /// Until when, on the monotonic clock, waiting tasks wait for a machine that has the image
-    /// cached. Once this time has passed, the tasks don't wait for such a machine again.
+    /// cached. Once this time has passed, the tasks don't wait for such a machine again. Cleared
+    /// when no task is left waiting.
     pub waiting_until: Option<Millis>,
     /// Since when, on the monotonic clock, no machine has had room for its next task; `None`
     /// while there is no shortage.
     pub shortage_since: Option<Millis>,
-    /// The number of counted failures since a task last finished successfully.
+    /// The number of failures counted against the job since a task last finished successfully.
+    /// See [`Workers::note_failure`](crate::workers::Workers::note_failure) for which count.
     pub consecutive_failures: u32,
     /// The machines that the job avoids because its tasks failed there.
     pub failed_on: Vec<MachineIx>,
@@ -145,9 +147,9 @@
             && wall_clock_ms > self.last_start_ms.max(self.accepted_ms) + STARVATION_MS
     }
 
-    /// Whether the job precedes younger jobs because of its age. A best-effort job has age
-    /// priority only while none of its tasks is open: otherwise, long tasks of one such class
-    /// could take all machines at once.
+    /// Whether the job is ordered like a guaranteed production job because of its age. A
+    /// best-effort job has age priority only while none of its tasks is open: otherwise, long
+    /// tasks of one such class could take all machines at once.
     pub fn has_age_priority(&self, wall_clock_ms: u64) -> bool {
         let eligible = !self.best_effort || self.open.is_empty();
         eligible && wall_clock_ms > self.accepted_ms + AGE_PRIORITY_MS
