--- a/src/fleet/boot.rs
+++ b/src/fleet/boot.rs
@@ -11,7 +11,7 @@
 /// after all.
 const OVERDUE_BOOT_FACTOR: f64 = 1.75;
 
-/// The machines of one offer that have not reported yet.
+/// The numbers of machines of one offer that are not known to have come up yet.
 #[derive(Clone, Copy, Debug, Default)]
 struct BootCounts {
     booting: usize,
--- a/src/fleet/demand.rs
+++ b/src/fleet/demand.rs
@@ -11,8 +11,8 @@
     pub shape: Shape,
     /// The number of tasks, including headroom.
     pub count: u32,
-    /// How many of them are current demand, for which on-demand machines are bought where
-    /// no spot machines are available.
+    /// How many of them are current demand that justifies buying on-demand machines. For the
+    /// others, only spot machines are bought unless the tasks can't run on these.
     pub on_demand_count: u32,
     /// Whether the tasks only use capacity that other classes leave.
     pub best_effort: bool,
@@ -27,7 +27,7 @@
     /// How many of them justify buying on-demand machines. Short tasks count for less, since
     /// they are over by the time a new machine is up.
     pub on_demand: f64,
-    /// How many of them justify buying spot machines, which need less of a reason.
+    /// How many of them justify buying spot machines, for which shorter tasks suffice.
     pub spot: f64,
 }
 
@@ -52,7 +52,7 @@
 /// The demand of a class at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DemandSample {
-    /// When the sample was taken.
+    /// When the sample was taken, in milliseconds of the monotonic clock.
     pub at: Millis,
     /// The number of tasks that were waiting or running.
     pub tasks: f64,
--- a/src/fleet/forecast.rs
+++ b/src/fleet/forecast.rs
@@ -14,10 +14,11 @@
 const SPOT_BOOT_SHARE: f64 = 0.2;
 const ON_DEMAND_BOOT_SHARE: f64 = 0.5;
 const ON_DEMAND_BOOT_SHARE_LOW_PRIORITY: f64 = 1.0;
-/// The mean demand counts in full once the forecast period holds a sample for every interval
-/// of this length.
-const FULL_TRUST_SAMPLE_INTERVAL_S: f64 = 3.0;
-/// Keeps the divisor above zero for tasks with an estimated duration of zero.
+/// The mean demand counts in full once the forecast period holds, on average, one sample for
+/// every interval of this length in seconds. With fewer samples, the missing ones count as zero.
+const FULL_WEIGHT_SAMPLE_INTERVAL_S: f64 = 3.0;
+/// Lower bound in seconds of a divisor that would be zero if both the estimated duration of a
+/// task and the time to start it were zero.
 const MIN_DIVISOR_S: f64 = 0.001;
 
 /// A class of jobs of one team: the key by which demand is summed up before the team's limit
@@ -82,7 +83,7 @@
     }
 
     fn capacity_needs(&self, context: &FleetContext<'_>) -> Vec<CapacityNeed> {
-        let min_samples = context.policy.forecast_s / FULL_TRUST_SAMPLE_INTERVAL_S;
+        let min_samples = context.policy.forecast_s / FULL_WEIGHT_SAMPLE_INTERVAL_S;
         let mut needs = Vec::new();
         for class in self.classes.values() {
             let count = class.target(context.policy.headroom, min_samples);
@@ -109,6 +110,8 @@
     jobs.filter(|job| job.is_active())
 }
 
+/// Returns the demand of the active jobs of each class and team, not yet limited to what the
+/// team may use.
 fn demand_by_team(context: &FleetContext<'_>) -> BTreeMap<TeamClass, TaskDemand> {
     let mut by_team: BTreeMap<TeamClass, TaskDemand> = BTreeMap::new();
     for job in active_jobs(context) {
@@ -123,6 +126,8 @@
     by_team
 }
 
+/// Returns the demand of one job. `boot_s` is the shortest boot time in seconds of the machine
+/// types that its tasks fit on.
 fn demand_of_job(job: &Job, boot_s: f64, wall_clock: Millis) -> TaskDemand {
     // A job that keeps failing must not get machines for all its tasks, but it is retried and
     // so needs capacity for one.
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -34,7 +34,7 @@
     Unreachable,
     /// The machine has not reported since it was requested.
     BootFailed,
-    /// Tasks fail on the machine that succeed elsewhere.
+    /// So many tasks have failed on the machine that it is most likely at fault.
     FailsTasks,
     /// The cloud is about to reclaim the spot machine.
     Reclaimed,
--- a/src/fleet/inventory.rs
+++ b/src/fleet/inventory.rs
@@ -10,6 +10,7 @@
 const VALUE_FILL_SHARE: f64 = 0.8;
 /// Bytes that a member is assumed to take of its group's value.
 const MEMBER_BYTES: f64 = 160.0;
+/// The most members of a group, however large a stored value may be.
 const MAX_MEMBERS: usize = 64;
 
 /// A machine as stored under the key of its group.
@@ -95,7 +96,7 @@
     /// Groups whose stored value only names a deleted machine or lacks an address. Nothing
     /// waits for these to be written.
     deferred: BTreeSet<GroupIx>,
-    /// The most members of a group.
+    /// The most members of a group, so that its stored value stays within the size limit.
     max_members: usize,
     /// The group that new machines are added to.
     open_group: Option<GroupIx>,
@@ -145,7 +146,7 @@
         self.groups.insert(name, group)
     }
 
-    /// Adds a machine to a group under whose key it is stored.
+    /// Adds a machine to a group, without scheduling a write of the group.
     pub fn add_member(&mut self, group: GroupIx, machine: MachineIx) {
         if let Some(group) = self.groups.get_mut(group) {
             group.members.insert(machine);
--- a/src/fleet/inventory/tests.rs
+++ b/src/fleet/inventory/tests.rs
@@ -21,6 +21,7 @@
                 _ => {}
             }
             for (ix, group) in inventory.groups.iter() {
+                // A value of 1 KiB has space for 5 members.
                 prop_assert!(group.members.len() <= 5);
                 for member in &group.members {
                     prop_assert_eq!(placed.get(member), Some(&ix));
@@ -44,7 +45,7 @@
     assert_eq!(inventory.due(DueGroups::Urgent), [group].into());
     inventory.write_started(group);
     inventory.confirm_write(group, 7);
-    assert_eq!(inventory.groups.get(group).expect("there").version, 7);
+    assert_eq!(inventory.groups.get(group).expect("known group").version, 7);
     // A changed address is written, but not urgently.
     inventory.address_changed(Some(group));
     assert!(!inventory.has_urgent());
@@ -57,7 +58,7 @@
     let group = inventory.add_stored_group("2-0", 5);
     inventory.add_member(group, MachineIx(0));
     inventory.confirm_deletion(group);
-    assert_eq!(inventory.groups.get(group).expect("there").version, 0);
+    assert_eq!(inventory.groups.get(group).expect("known group").version, 0);
     inventory.remove(group, MachineIx(0));
     inventory.confirm_deletion(group);
     assert!(inventory.groups.get(group).is_none());
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -32,8 +32,8 @@
 const PLANNING_INTERVAL_MS: Millis = 1_000;
 /// Milliseconds from the end of one reading of the cloud's machine list to the next.
 pub(crate) const LISTING_INTERVAL_MS: Millis = 3_000;
-/// Milliseconds allowed in addition to its boot until a new machine is listed by the cloud or
-/// reports.
+/// Milliseconds allowed for the first report of a machine, both after its boot and after the
+/// leader began to receive reports.
 const FIRST_CONTACT_GRACE_MS: Millis = 10_000;
 
 /// Stored value of a machine request. It is written before the request is sent to the cloud,
@@ -62,7 +62,7 @@
     pub(crate) listing: CallState,
     /// State of the calls that delete decommissioned machines.
     pub(crate) deletion: CallState,
-    /// Zones most of whose machines have become unresponsive, and which are most likely cut off.
+    /// Zones most of whose machines have stopped reporting, and which are most likely cut off.
     pub(crate) unresponsive_zones: BTreeSet<ZoneIx>,
     machine_requests: Vec<PendingMachineRequest>,
     next_request: u64,
--- a/src/fleet/offers.rs
+++ b/src/fleet/offers.rs
@@ -12,7 +12,8 @@
 pub(crate) enum PurchaseScope {
     /// Only spot machines, as for headroom.
     SpotOnly,
-    /// On-demand machines as well, where no spot machines are available.
+    /// On-demand machines as well, where they cost less per task or no spot machines are
+    /// available.
     SpotOrOnDemand,
 }
 
