--- a/src/ids.rs
+++ b/src/ids.rs
@@ -50,7 +50,8 @@
     ImageIx;
     /// Index of a team, whose jobs share a guarantee and a limit.
     TeamIx;
-    /// Index of a class of jobs whose tasks need the same kind of machines.
+    /// Index of a class by which demand is counted: the jobs of one submitted class whose tasks
+    /// have the same shape.
     ClassIx;
     /// Index of a group of machines that share a key of the inventory.
     GroupIx;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! sumacbend: a cluster scheduler whose controllers keep all state in a small
-//! consistent store and share the work of managing one pool of machines.
+//! sumacbend: a cluster scheduler whose controllers keep all state in a small consistent
+//! key-value store (the state service) and share the work of managing one pool of machines.
 //!
 //! Each module owns its state and messages. [`controller`] composes the modules into one
 //! deterministic state machine, and only [`runtime`] performs I/O.
@@ -28,7 +28,8 @@
 pub type Millis = u64;
 
 /// The current time on both clocks. Leases and timeouts use the monotonic clock. Only times
-/// that must remain valid in another process (submission times) use the wall clock.
+/// that must remain valid in another process, such as the time at which a job was accepted, and
+/// times that are compared with them use the wall clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
     /// Time on the monotonic clock of this process.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -83,7 +83,8 @@
 }
 
 policy! {
-    /// Longest time in seconds that a released task waits for a machine that holds its image.
+    /// Longest time in seconds that a task waits for a full machine that has its image cached,
+    /// although another machine has room.
     locality_wait_s: 1.5 in 0.0..=60.0;
     /// Seconds that a job waits for capacity before tasks of lower priority are preempted.
     preempt_wait_s: 0.5 in 0.0..=3600.0;
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -81,8 +81,8 @@
     OnDemand,
 }
 
-/// Machines of one type in one zone, either spot or on-demand. Capacity, refusals and failed
-/// boots are counted separately for each offer.
+/// Machines of one type in one zone, either spot or on-demand. Pending requests, shortages of
+/// the cloud and overdue boots are tracked separately for each offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
     /// The machine type.
--- a/src/topology.rs
+++ b/src/topology.rs
@@ -4,7 +4,8 @@
 use crate::resources::{Market, Offer, Resources};
 use crate::wire::{Catalogue, MachineType};
 
-/// Boot time in seconds assumed for a type that the catalogue does not list.
+/// Boot time in seconds assumed for a type that the catalogue does not list, and for tasks that
+/// fit on no listed type.
 const UNKNOWN_BOOT_S: f64 = 60.0;
 
 /// A machine type as listed in the cloud's catalogue.
