--- a/src/placement/machine_view/mod.rs
+++ b/src/placement/machine_view/mod.rs
@@ -22,7 +22,7 @@
 /// At most one slot in this many, rounded up, is reserved for urgent jobs.
 const SLOTS_PER_RESERVATION: usize = 8;
 
-/// Which machines have room for a task of a job, in terms of its image.
+/// Whether a task of a job has room on machines with or without the job's image.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoomForTask {
     /// At least one machine with room has the image cached.
--- a/src/placement/machine_view/slot.rs
+++ b/src/placement/machine_view/slot.rs
@@ -14,7 +14,7 @@
     pub offer: Offer,
     /// The number of CPUs of the machine type, in use or not.
     pub type_cpus: f64,
-    /// The resources that are not in use, also counting tasks placed in this round.
+    /// The resources that are used neither by open attempts nor by tasks placed in this round.
     pub free: Resources,
     /// Whether the round places nothing more here, so that an urgent job finds room later.
     pub reserved: bool,
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -19,10 +19,10 @@
 
 /// Whether the machine is large, whether it is a spot machine, its CPUs in use, and the image
 /// it has cached as an offset from the job's image.
-type MachineState = (bool, bool, f64, Option<u32>);
+type MachineSetup = (bool, bool, f64, Option<u32>);
 
 impl Fixture {
-    fn new(machines: &[MachineState]) -> Fixture {
+    fn new(machines: &[MachineSetup]) -> Fixture {
         let settings = Settings::parse(SAMPLE).expect("valid settings");
         let mut topology = Topology::new(&settings.params.zones);
         let types = [("small", 8.0), ("large", 16.0)].map(|(name, cpus)| machine_type(name, cpus));
@@ -41,7 +41,7 @@
         fixture
     }
 
-    fn add_machine(&mut self, number: usize, &(large, spot, used, image): &MachineState) {
+    fn add_machine(&mut self, number: usize, &(large, spot, used, image): &MachineSetup) {
         let type_name = if large { "large" } else { "small" };
         let ix = self.add_empty_machine(&format!("host-{number}"), type_name, "north", spot);
         let job_image = self.job().image;
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -216,8 +216,8 @@
     }
 
     /// Whether a start command of this term went unanswered and may still reach the
-    /// machine. The machine is then not told to forget ended attempts, so it keeps listing
-    /// them until the term is raised.
+    /// machine. The machine is then sent no commands to forget ended attempts, so it keeps
+    /// listing them until the term is raised.
     fn has_unconfirmed_start(&self, machine: MachineIx) -> bool {
         let machine = self.context.workers.machines.get(machine);
         machine.is_some_and(|machine| machine.has_unconfirmed_start_of(self.context.term))
