--- a/src/pipeline/jobs.rs
+++ b/src/pipeline/jobs.rs
@@ -20,11 +20,11 @@
     classes: Interner<ClassIx>,
     /// The quota and the usage of each team, by team index.
     pub team_quotas: Vec<TeamQuota>,
-    /// For each class with such an objective, the time from acceptance within which its jobs
-    /// should be complete, in milliseconds.
+    /// For each class with an objective of the kind `finished`, the time from acceptance within
+    /// which its jobs should be complete, in milliseconds.
     finish_within: BTreeMap<String, Millis>,
-    /// For each class with such an objective, the time from acceptance within which the tasks of
-    /// its jobs should start, in milliseconds.
+    /// For each class with an objective of the kind `wait`, the time from acceptance within which
+    /// the tasks of its jobs should start, in milliseconds.
     start_within: BTreeMap<String, Millis>,
     /// The number of tasks in a chunk, which are stored under one key.
     pub tasks_per_chunk: u32,
