--- a/src/fleet/forecast.rs
+++ b/src/fleet/forecast.rs
@@ -165,7 +165,8 @@
 /// Tasks with time left can run later on machines that other tasks free. If the objective
 /// is longer than a boot, machines requested when the job arrived are up in time, and all of
 /// the remaining time counts. If it is shorter, or if the job has low priority and so is
-/// placed after all others, only the time that remains after a boot counts.
+/// placed after all others, only the time that remains after a boot counts. All tasks must run
+/// concurrently if no time is left or the job has a deadline of its own.
 fn required_concurrency(job: &Job, tasks: f64, boot_s: f64, wall_clock: Millis) -> f64 {
     let remaining_s = job.start_by_ms.saturating_sub(wall_clock) as f64 / 1000.0;
     let objective_s = job.start_by_ms.saturating_sub(job.accepted_ms) as f64 / 1000.0;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,8 @@
 //! key-value store (the state service) and share the work of managing one pool of machines.
 //!
 //! Each module owns its state and messages. [`controller`] composes the modules into one
-//! deterministic state machine, and only [`runtime`] performs I/O.
+//! deterministic state machine. [`runtime`] performs all I/O, except that [`settings`] and
+//! [`policy`] read their files at startup.
 
 pub mod admission;
 pub mod controller;
