--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -34,7 +34,8 @@
     Unreachable,
     /// The machine has not reported since it was requested.
     BootFailed,
-    /// So many tasks have failed on the machine that it is most likely at fault.
+    /// So many tasks have failed on the machine, of several jobs or of jobs that succeed
+    /// elsewhere, that the machine is most likely at fault.
     FailsTasks,
     /// The cloud is about to reclaim the spot machine.
     Reclaimed,
--- a/src/fleet/planned.rs
+++ b/src/fleet/planned.rs
@@ -89,7 +89,8 @@
     }
 
     /// Whether tasks may be packed onto a known machine: it belongs to a group of the inventory,
-    /// its boot is not overdue, and it is neither unresponsive nor about to be deleted or reclaimed.
+    /// its boot is not overdue, and it is neither unresponsive nor about to be deleted or
+    /// reclaimed.
     fn is_expected_to_stay(&self, context: &FleetContext<'_>, machine: &Machine) -> bool {
         let is_leaving = machine.decommissioned || machine.marked_unresponsive || machine.spot_reclaim_at.is_some();
         !is_leaving && machine.group.is_some() && !self.is_boot_overdue(context, machine)
