--- a/src/pipeline/jobs.rs
+++ b/src/pipeline/jobs.rs
@@ -28,8 +28,8 @@
     start_within: BTreeMap<String, Millis>,
     /// The number of tasks in a chunk, which are stored under one key.
     pub tasks_per_chunk: u32,
-    /// The ids of jobs whose keys have been deleted from the state service and which still have to be
-    /// removed here.
+    /// The ids of jobs whose keys have been deleted from the state service and which still have
+    /// to be removed here.
     deleted_jobs: Vec<String>,
 }
 
--- a/src/placement/preemption/victims/tests.rs
+++ b/src/placement/preemption/victims/tests.rs
@@ -101,8 +101,8 @@
 }
 
 /// Reference implementation of [`choose_victims`] that serves one task at a time and repeats
-/// the search for each of them. `wanted` holds the CPUs of a task and the number of tasks for each
-/// demand.
+/// the search for each of them. `wanted` holds the CPUs of a task and the number of tasks for
+/// each demand.
 fn choose_task_by_task(mut candidates: Vec<Candidate>, wanted: &[(u32, u32)]) -> Vec<AttemptIx> {
     let mut stops = Vec::new();
     let mut unplaced = Vec::new();
