--- a/src/pipeline/job.rs
+++ b/src/pipeline/job.rs
@@ -92,7 +92,7 @@
     /// Until when, on the monotonic clock, waiting tasks wait for a machine that has the image
     /// cached. Once this time has passed, the tasks don't wait for such a machine again. Cleared
     /// when no task is left waiting.
-    pub waiting_until: Option<Millis>,
+    pub cache_wait_until: Option<Millis>,
     /// Since when, on the monotonic clock, no machine has had room for its next task; `None`
     /// while there is no shortage.
     pub shortage_since: Option<Millis>,
--- a/src/pipeline/job_builder.rs
+++ b/src/pipeline/job_builder.rs
@@ -78,7 +78,7 @@
             open: BTreeMap::new(),
             first_unvisited_task: 0,
             retry_queue: VecDeque::new(),
-            waiting_until: None,
+            cache_wait_until: None,
             shortage_since: None,
             consecutive_failures: 0,
             failed_on: Vec::new(),
--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -76,7 +76,7 @@
     zones: &Option<Vec<ZoneIx>>,
 ) -> Option<Millis> {
     let now = cluster.now.monotonic;
-    if job.waiting_until.is_some_and(|until| now >= until) {
+    if job.cache_wait_until.is_some_and(|until| now >= until) {
         return None;
     }
     let RoomForTask::CacheHoldersFull { first_slot } = view.room_for(cluster.workers, job, zones) else {
@@ -89,7 +89,7 @@
 /// Until when a job's tasks wait for a machine that has their image cached, rather than
 /// start on a machine of the given type and fetch the image there.
 fn cache_wait_end(cluster: &Cluster<'_>, job: &Job, type_ix: TypeIx) -> Millis {
-    job.waiting_until.unwrap_or_else(|| {
+    job.cache_wait_until.unwrap_or_else(|| {
         let info = cluster.topology.type_info[type_ix.usize()].as_ref();
         let fetch_s = info.map_or(0.0, |info| {
             job.spec.image_gb / info.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
--- a/src/placement/opening.rs
+++ b/src/placement/opening.rs
@@ -47,7 +47,7 @@
     job.last_start_ms = wall_clock;
     if job.waiting_tasks() == 0 {
         job.shortage_since = None;
-        job.waiting_until = None;
+        job.cache_wait_until = None;
     }
 }
 
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -241,7 +241,7 @@
     /// Lets the job's tasks wait for a machine that has their image cached.
     fn wait(&mut self, job_ix: JobIx, until: Millis) {
         if let Some(job) = self.context.jobs.table.get_mut(job_ix) {
-            job.waiting_until = Some(until);
+            job.cache_wait_until = Some(until);
         }
     }
 
