--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -36,7 +36,7 @@
     /// service allow one.
     fn may_commit(&mut self) -> bool {
         let shard = self.shard.as_ref();
-        let is_urgent = shard.is_some_and(|shard| shard.starts_wait());
+        let is_urgent = shard.is_some_and(|shard| shard.has_urgent_writes());
         let is_due = is_urgent || self.leader_timers.is_commit_due(self.now);
         let is_in_flight = shard.is_some_and(|shard| shard.pending_writes.is_in_flight());
         is_due && !is_in_flight && !self.term_raise.is_pending() && self.store_client.may_commit(self.now)
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -117,7 +117,7 @@
     step(&mut controller, evidence_read, StoreReply::Missing);
     assert!(!in_flight(&controller) && !controller.term_raise.is_reload_requested());
     let shard = controller.shard.as_ref().expect("the shard of a leader");
-    assert!(shard.starts_wait());
+    assert!(shard.has_urgent_writes());
     assert!(
         shard
             .workers
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -36,7 +36,7 @@
     };
     assert_eq!(open(shard), 1);
     let used = shard.jobs.team_quotas[0].used.cpus;
-    assert!(used > 0.0 && shard.starts_wait());
+    assert!(used > 0.0 && shard.has_urgent_writes());
     let written = shard
         .next_transaction(MINUTE, &keys, claim.clone(), 48, 48)
         .expect("due");
--- a/src/controller/shard/tests/transactions.rs
+++ b/src/controller/shard/tests/transactions.rs
@@ -65,7 +65,7 @@
 #[test]
 fn attempts_may_start_once_their_chunk_is_written() {
     let mut shard = shard_with_open_tasks(2);
-    assert!(shard.starts_wait());
+    assert!(shard.has_urgent_writes());
     let transaction = next(&mut shard, MAX_CHANGES).expect("due");
     assert_eq!(put_keys(&transaction), [keys().task_chunk("j-1", 0)]);
     assert!(next(&mut shard, MAX_CHANGES).is_none(), "one is in flight");
@@ -86,7 +86,7 @@
             .all(|(_, attempt)| attempt.record.is_written())
     );
     assert_eq!(shard.workers.delivery_due.len(), 1);
-    assert!(!shard.starts_wait());
+    assert!(!shard.has_urgent_writes());
 }
 
 #[test]
@@ -94,7 +94,7 @@
     let mut shard = shard_with_open_tasks(2);
     let first = next(&mut shard, MAX_CHANGES).expect("due");
     shard.not_applied();
-    assert!(shard.starts_wait());
+    assert!(shard.has_urgent_writes());
     let second = next(&mut shard, MAX_CHANGES).expect("due again");
     assert_eq!(first, second);
 }
@@ -164,7 +164,7 @@
         count: 2,
     };
     shard.pending_writes.queue_machine_request(record.clone());
-    assert!(shard.starts_wait());
+    assert!(shard.has_urgent_writes());
     let transaction = next(&mut shard, MAX_CHANGES).expect("due");
     assert_eq!(put_keys(&transaction), [keys().machine_request("pool-5-0")]);
     assert!(shard.fleet.machine_requests().is_empty());
--- a/src/controller/shard/transactions.rs
+++ b/src/controller/shard/transactions.rs
@@ -11,7 +11,7 @@
 
 impl Shard {
     /// Whether something is to be written that work or users wait for.
-    pub fn starts_wait(&self) -> bool {
+    pub fn has_urgent_writes(&self) -> bool {
         self.pending_writes.is_urgent() || self.fleet.inventory.has_urgent()
     }
 
