--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -100,7 +100,7 @@
 
     /// For jobs that were cancelled while a transaction was in flight: drops the attempts
     /// that are only planned, and stops all others.
-    pub fn drop_planned_attempts(&mut self, now: Millis) {
+    pub fn stop_cancelled_jobs(&mut self, now: Millis) {
         for ix in self.jobs.table.indices() {
             let job = self.jobs.table.get(ix);
             if job.is_some_and(|job| job.ended == Some(JobState::Cancelled)) {
--- a/src/controller/shard/transactions.rs
+++ b/src/controller/shard/transactions.rs
@@ -53,7 +53,7 @@
             self.fleet.add_machine_request(request.record, request.version);
         }
         // A cancel may have come while this was written.
-        self.drop_planned_attempts(now);
+        self.stop_cancelled_jobs(now);
     }
 
     /// The transaction in flight was surely not applied: everything in it has
