--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -229,7 +229,7 @@
             return;
         };
         shard.fleet.deletion.finish(self.now);
-        shard.machines_gone(self.now, machines);
+        shard.remove_deleted_machines(self.now, machines);
         self.placement_rounds.request();
     }
 
--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -46,7 +46,7 @@
     }
 
     /// The cloud confirmed that these machines are gone, with all on them.
-    pub fn machines_gone(&mut self, now: Millis, names: &[String]) {
+    pub fn remove_deleted_machines(&mut self, now: Millis, names: &[String]) {
         for name in names {
             if let Some(ix) = self.workers.machines.find(name) {
                 self.machine_gone(now, name, ix);
