--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -54,7 +54,7 @@
             shard.workers.receiving_reports_since = self.now;
         }
         if self.leader_timers.take_maintenance_due(self.now) {
-            shard.close_expired(self.now);
+            shard.close_expired_attempts(self.now);
             shard.drain(self.now);
             shard.plan_fleet(self.now);
             self.expire_deliveries();
--- a/src/controller/shard/reports.rs
+++ b/src/controller/shard/reports.rs
@@ -53,7 +53,7 @@
     }
 
     /// Closes everything on machines whose worker's lease has surely expired.
-    pub fn close_expired(&mut self, now: Millis) {
+    pub fn close_expired_attempts(&mut self, now: Millis) {
         for expired in self.workers.expired_attempts(now) {
             self.close(now, expired.attempt, expired.outcome);
         }
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -98,9 +98,9 @@
     shard.merge_report(late, &report(2, 1, 5, Vec::new()), ReportPath::Heartbeat);
     shard.place(late);
     assert_eq!(open(&shard), 1);
-    shard.close_expired(late + 1_000);
+    shard.close_expired_attempts(late + 1_000);
     assert_eq!(open(&shard), 1);
-    shard.close_expired(late + shard.workers.lease_expiry_ms + 1);
+    shard.close_expired_attempts(late + shard.workers.lease_expiry_ms + 1);
     assert_eq!(open(&shard), 0);
 }
 
