--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -71,7 +71,7 @@
     }
 
     /// This job is gone: its failures count against no machine any more.
-    pub fn clear_machines_of(&mut self, job: JobIx) {
+    pub fn clear_failures_of_job(&mut self, job: JobIx) {
         self.workers.clear_failures_of(job);
     }
 
--- a/src/controller/shard/jobs.rs
+++ b/src/controller/shard/jobs.rs
@@ -68,7 +68,7 @@
         self.pending_writes.forget_job(ix);
         // Its index may be given to another.
         if removed.is_some_and(|job| job.consecutive_failures > 0) {
-            self.clear_machines_of(ix);
+            self.clear_failures_of_job(ix);
         }
     }
 
