--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -19,7 +19,7 @@
     /// A machine that only a report speaks of. The report may be a late copy,
     /// from a machine returned long ago, so it counts for nothing until the
     /// cloud lists it or it answers a command.
-    pub fn add_unverified(&mut self, now: Millis, report: &Report) -> MachineIx {
+    pub fn add_unverified_machine(&mut self, now: Millis, report: &Report) -> MachineIx {
         let offer = self.offer(&report.machine_type, &report.zone, report.spot);
         let machine = Machine::new(&report.machine, offer, now);
         let ix = self.workers.machines.insert(&report.machine, machine);
--- a/src/controller/shard/reports.rs
+++ b/src/controller/shard/reports.rs
@@ -17,7 +17,7 @@
             Some(ix) => ix,
             // Not rented by anybody we know of, or rented late: it is used, or
             // returned once idle, like any other.
-            None => self.add_unverified(now, report),
+            None => self.add_unverified_machine(now, report),
         };
         if path == ReportPath::CommandReply {
             self.add_to_inventory(ix);
