--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -76,7 +76,7 @@
     }
 
     /// A cancelled job: nothing more starts, and what is open has to end.
-    pub(super) fn stop_all(&mut self, now: Millis, ix: JobIx) {
+    pub(super) fn stop_job_attempts(&mut self, now: Millis, ix: JobIx) {
         let Some(job) = self.jobs.table.get(ix) else {
             return;
         };
@@ -104,7 +104,7 @@
         for ix in self.jobs.table.indices() {
             let job = self.jobs.table.get(ix);
             if job.is_some_and(|job| job.ended == Some(JobState::Cancelled)) {
-                self.stop_all(now, ix);
+                self.stop_job_attempts(now, ix);
             }
         }
     }
--- a/src/controller/shard/jobs.rs
+++ b/src/controller/shard/jobs.rs
@@ -37,7 +37,7 @@
         }
         job.ended = key.ended;
         if key.ended == Some(JobState::Cancelled) {
-            self.stop_all(now, ix);
+            self.stop_job_attempts(now, ix);
         }
     }
 
