--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -16,7 +16,7 @@
 
 impl Shard {
     /// An attempt is proven over: frees what it took and decides what follows.
-    pub fn close(&mut self, now: Millis, ix: AttemptIx, outcome: Outcome) {
+    pub fn close_attempt(&mut self, now: Millis, ix: AttemptIx, outcome: Outcome) {
         let Some(attempt) = self.workers.attempts.remove(ix) else {
             return;
         };
@@ -88,7 +88,7 @@
             attempt.stop_grace_s = Some(0.0);
             let machine = attempt.machine;
             if attempt.is_only_planned() {
-                self.close(now, attempt_ix, Outcome::Lost);
+                self.close_attempt(now, attempt_ix, Outcome::Lost);
             } else {
                 self.workers.delivery_due.insert(machine);
             }
--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -60,7 +60,7 @@
             return;
         };
         for attempt in machine.open.clone() {
-            self.close(now, attempt, Outcome::Lost);
+            self.close_attempt(now, attempt, Outcome::Lost);
         }
         let removed = self.workers.remove_machine(now, name);
         if let Some(group) = removed.and_then(|machine| machine.group) {
--- a/src/controller/shard/reports.rs
+++ b/src/controller/shard/reports.rs
@@ -36,7 +36,7 @@
     fn apply_report(&mut self, now: Millis, merged: MergedReport) -> MergeOutcome {
         self.fleet.inventory.address_changed(merged.group_to_rewrite);
         for ended in merged.ended {
-            self.close(now, ended.attempt, ended.outcome);
+            self.close_attempt(now, ended.attempt, ended.outcome);
         }
         self.pending_writes.queue_urgent_chunks(merged.chunks_to_rewrite);
         merged.outcome
@@ -55,7 +55,7 @@
     /// Closes everything on machines whose worker's lease has surely expired.
     pub fn close_expired_attempts(&mut self, now: Millis) {
         for expired in self.workers.expired_attempts(now) {
-            self.close(now, expired.attempt, expired.outcome);
+            self.close_attempt(now, expired.attempt, expired.outcome);
         }
     }
 
--- a/src/controller/shard/scheduling.rs
+++ b/src/controller/shard/scheduling.rs
@@ -50,7 +50,7 @@
             return;
         };
         match StopMode::new(attempt, self.jobs.table.get(attempt.job)) {
-            StopMode::Withdraw => self.close(now, attempt_ix, Outcome::Lost),
+            StopMode::Withdraw => self.close_attempt(now, attempt_ix, Outcome::Lost),
             StopMode::Command { grace_s } => {
                 attempt.stop_grace_s = Some(grace_s);
                 self.workers.delivery_due.insert(attempt.machine);
--- a/src/controller/shard/tests/attempts.rs
+++ b/src/controller/shard/tests/attempts.rs
@@ -64,7 +64,7 @@
 fn a_job_goes_back_to_the_machines_it_failed_on_when_no_other_fits() {
     let (mut shard, machine) = shard();
     let attempt = machine_of(&shard, machine).open[0];
-    shard.close(0, attempt, Outcome::Error);
+    shard.close_attempt(0, attempt, Outcome::Error);
     for now in [6_000, 12_000] {
         shard.place(now);
         assert_eq!(open(&shard), 0);
--- a/src/controller/shard/tests/attribution.rs
+++ b/src/controller/shard/tests/attribution.rs
@@ -42,7 +42,7 @@
         .open
         .last()
         .expect("one");
-    shard.close(now, attempt, Outcome::Error);
+    shard.close_attempt(now, attempt, Outcome::Error);
 }
 
 /// Guards against machines given up for jobs submitted with a mistake, many of which
@@ -109,7 +109,7 @@
 fn fail_once(shard: &mut Shard, machine: MachineIx, now: Millis) {
     shard.place(now);
     let attempt = machine_of(shard, machine).open[0];
-    shard.close(now, attempt, Outcome::Error);
+    shard.close_attempt(now, attempt, Outcome::Error);
 }
 
 /// Guards against blaming jobs for sick machines (inc-c6c5): every job was
@@ -119,15 +119,15 @@
     let (mut shard, machine) = shard_of(40);
     let job = shard.jobs.table.find("j-1").expect("known");
     let first = machine_of(&shard, machine).open.clone();
-    shard.close(0, first[0], Outcome::Done);
+    shard.close_attempt(0, first[0], Outcome::Done);
     for attempt in machine_of(&shard, machine).open.clone() {
-        shard.close(0, attempt, Outcome::Lost);
+        shard.close_attempt(0, attempt, Outcome::Lost);
     }
     for round in 1..=3 {
         shard.jobs.table.get_mut(job).expect("there").failed_on.clear();
         fail_once(&mut shard, machine, round * 10_000);
         for attempt in machine_of(&shard, machine).open.clone() {
-            shard.close(0, attempt, Outcome::Lost);
+            shard.close_attempt(0, attempt, Outcome::Lost);
         }
     }
     assert_eq!(shard.jobs.table.get(job).expect("there").consecutive_failures, 0);
@@ -141,7 +141,7 @@
     let job = shard.jobs.table.find("j-1").expect("known");
     for round in 0..6 {
         for attempt in machine_of(&shard, machine).open.clone() {
-            shard.close(round * 70_000, attempt, Outcome::Error);
+            shard.close_attempt(round * 70_000, attempt, Outcome::Error);
         }
         shard.jobs.table.get_mut(job).expect("there").failed_on.clear();
         shard.place(round * 70_000 + 65_000);
--- a/src/controller/shard/tests/transactions.rs
+++ b/src/controller/shard/tests/transactions.rs
@@ -104,7 +104,7 @@
     let mut shard = shard_with_open_tasks(1);
     let job = shard.jobs.table.find("j-1").expect("known");
     let attempt = open(&shard)[0];
-    shard.close(0, attempt, Outcome::Done);
+    shard.close_attempt(0, attempt, Outcome::Done);
     let job = shard.jobs.table.get_mut(job).expect("there");
     let mut chunk = job.chunks[0].clone();
     for version in [3, 4, 5] {
--- a/src/controller/shard/transactions.rs
+++ b/src/controller/shard/transactions.rs
@@ -43,7 +43,7 @@
         let (pending_writes, context) = self.write_context();
         let effects = pending_writes.committed(context, revision);
         for attempt in effects.withdrawn_attempts {
-            self.close(now, attempt, Outcome::Lost);
+            self.close_attempt(now, attempt, Outcome::Lost);
         }
         for id in effects.removed_jobs {
             self.remove_job(&id);
