--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -116,7 +116,7 @@
     }
 
     /// After loading: sets going what needs no event to go on.
-    pub fn loaded(&mut self) {
+    pub fn finish_loading(&mut self) {
         for (ix, job) in self.jobs.table.iter() {
             if job.ended.is_some() {
                 if job.open.is_empty() {
--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -126,7 +126,7 @@
         let Some(shard) = &mut self.shard else {
             return;
         };
-        shard.loaded();
+        shard.finish_loading();
         // Contacting each worker directly saves waiting one report interval.
         shard.workers.delivery_due.extend(shard.workers.machines.indices());
         tracing::info!(
