--- a/benches/costs/leader_costs.rs
+++ b/benches/costs/leader_costs.rs
@@ -177,7 +177,7 @@
     let body = serde_json::to_vec(&list).expect("written");
     bencher.bench_local(|| {
         let list: MachineList = serde_json::from_slice(&body).expect("read");
-        shard.listed(0, &list);
+        shard.merge_machine_list(0, &list);
     });
 }
 
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -239,7 +239,7 @@
         let Some(shard) = &mut self.shard else {
             return;
         };
-        shard.listed(now, list);
+        shard.merge_machine_list(now, list);
         match list.machines.last() {
             Some(last) if list.more => {
                 self.cloud.list_after = last.id.clone();
--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -74,7 +74,7 @@
 
     /// One page of the cloud's list. Lists lag and may go back in time, so
     /// absence proves nothing; what is there is learned.
-    pub fn listed(&mut self, now: Millis, page: &MachineList) {
+    pub fn merge_machine_list(&mut self, now: Millis, page: &MachineList) {
         for listed in &page.machines {
             if !self.workers.was_recently_deleted(&listed.id) {
                 self.machine_listed(now, listed);
