--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -1,5 +1,4 @@
-//! The life of an attempt beyond one slice: how its end frees what it took, and what
-//! follows for its job, its machine and its team.
+//! Closing and stopping of attempts, with the consequences for their job, machine and team.
 
 use super::Shard;
 use crate::Millis;
@@ -9,19 +8,20 @@
 use crate::wire::JobState;
 use crate::workers::{Attempt, Outcome};
 
-/// A refused task waits this long before it is placed again.
+/// Milliseconds until a task that a worker refused to start may be placed again.
 const REFUSED_RETRY_MS: Millis = 500;
-/// Machines that a job remembers to have failed on, at most.
-const MAX_FAILED_ON: usize = 3;
+/// The most machines that a job avoids because its tasks failed there.
+const MAX_AVOIDED_MACHINES: usize = 3;
 
 impl Shard {
-    /// An attempt is proven over: frees what it took and decides what follows.
+    /// Closes an attempt that has provably ended: releases its resources, records the outcome and
+    /// queues the writes that follow.
     pub fn close_attempt(&mut self, now: Millis, ix: AttemptIx, outcome: Outcome) {
         let Some(attempt) = self.workers.attempts.remove(ix) else {
             return;
         };
         self.workers.capacity_changed = true;
-        let Some(resources) = self.release_in_job_and_team(&attempt) else {
+        let Some(resources) = self.release_from_job_and_team(&attempt) else {
             return;
         };
         if let Some(machine) = self.workers.machines.get_mut(attempt.machine) {
@@ -32,13 +32,14 @@
             self.workers.note_failure(now, &attempt, &mut self.jobs);
         }
         if let Some(job) = self.jobs.table.get_mut(attempt.job) {
-            note_outcome_in_job(now, job, &attempt, outcome);
+            record_outcome_in_job(now, job, &attempt, outcome);
         }
-        self.note_writes_due(&attempt);
+        self.queue_writes_after_close(&attempt);
     }
 
-    /// The attempt counts against its job and its team no more: what it took.
-    fn release_in_job_and_team(&mut self, attempt: &Attempt) -> Option<Resources> {
+    /// Removes an attempt from its job's open attempts and from its team's usage. Returns the
+    /// resources that the attempt used; `None` if its job no longer exists.
+    fn release_from_job_and_team(&mut self, attempt: &Attempt) -> Option<Resources> {
         let job = self.jobs.table.get_mut(attempt.job)?;
         let resources = job.shape.resources;
         self.jobs.team_quotas[job.team.usize()].used.subtract(resources);
@@ -46,8 +47,8 @@
         Some(resources)
     }
 
-    /// What has to be written now that the attempt is over.
-    fn note_writes_due(&mut self, attempt: &Attempt) {
+    /// Queues the writes that are due because an attempt was closed.
+    fn queue_writes_after_close(&mut self, attempt: &Attempt) {
         let Some(job) = self.jobs.table.get_mut(attempt.job) else {
             return;
         };
@@ -57,31 +58,32 @@
             }
             return;
         }
-        let number = job.chunk_index_of(attempt.task, self.jobs.tasks_per_chunk);
-        if let Some(chunk) = job.chunks.get_mut(number) {
+        let chunk_index = job.chunk_index_of(attempt.task, self.jobs.tasks_per_chunk);
+        if let Some(chunk) = job.chunks.get_mut(chunk_index) {
             chunk.mark_changed();
         }
         self.pending_writes.queue_deferrable_chunk(ChunkId {
             job: attempt.job,
-            number: number as u32,
+            number: chunk_index as u32,
         });
         if job.is_complete() {
             self.pending_writes.queue_finished_job(attempt.job);
         }
     }
 
-    /// This job is gone: its failures count against no machine any more.
+    /// Removes the failures of a job from all machines, because the job has been removed.
     pub fn clear_failures_of_job(&mut self, job: JobIx) {
         self.workers.clear_failures_of(job);
     }
 
-    /// A cancelled job: nothing more starts, and what is open has to end.
+    /// Stops all open attempts of a cancelled job without a grace period. Attempts that are only
+    /// planned are closed immediately. If no attempt is open any more, queues the job's clean-up.
     pub(super) fn stop_job_attempts(&mut self, now: Millis, ix: JobIx) {
         let Some(job) = self.jobs.table.get(ix) else {
             return;
         };
-        let open: Vec<AttemptIx> = job.open.values().copied().collect();
-        for attempt_ix in open {
+        let open_attempts: Vec<AttemptIx> = job.open.values().copied().collect();
+        for attempt_ix in open_attempts {
             let Some(attempt) = self.workers.attempts.get_mut(attempt_ix) else {
                 continue;
             };
@@ -98,8 +100,8 @@
         }
     }
 
-    /// For jobs that were cancelled while a transaction was in flight: drops the attempts
-    /// that are only planned, and stops all others.
+    /// Stops all open attempts of every cancelled job. After a transaction, this stops the
+    /// attempts of jobs that were cancelled while it was in flight.
     pub fn stop_cancelled_jobs(&mut self, now: Millis) {
         for ix in self.jobs.table.indices() {
             let job = self.jobs.table.get(ix);
@@ -110,8 +112,8 @@
     }
 }
 
-/// What the end of an attempt means for its job: its task is done, or runs again.
-fn note_outcome_in_job(now: Millis, job: &mut Job, attempt: &Attempt, outcome: Outcome) {
+/// Records the outcome of an attempt in its job: the task is done, or is queued to run again.
+fn record_outcome_in_job(now: Millis, job: &mut Job, attempt: &Attempt, outcome: Outcome) {
     match outcome {
         Outcome::Done => {
             job.consecutive_failures = 0;
@@ -119,23 +121,23 @@
             job.done.insert(attempt.task);
         }
         Outcome::Error => {
-            avoid_machine(job, attempt);
-            let pause = if job.is_likely_misconfigured() {
+            update_avoided_machines(job, attempt);
+            let backoff_ms = if job.is_likely_misconfigured() {
                 failure_backoff(job.consecutive_failures)
             } else {
                 0
             };
-            job.retry_task(attempt.task, now + pause);
+            job.retry_task(attempt.task, now + backoff_ms);
         }
         Outcome::Refused => job.retry_task(attempt.task, now + REFUSED_RETRY_MS),
         Outcome::Stopped | Outcome::Lost => job.retry_task(attempt.task, now),
     }
 }
 
-/// The job keeps off the machine it failed on. Once it failed twice on one, or on too
-/// many, it is free to go anywhere again.
-fn avoid_machine(job: &mut Job, attempt: &Attempt) {
-    if !job.failed_on.contains(&attempt.machine) && job.failed_on.len() < MAX_FAILED_ON {
+/// Makes a job avoid the machine on which its attempt failed. If the job already avoids this
+/// machine, or as many machines as it may, all machines are allowed again.
+fn update_avoided_machines(job: &mut Job, attempt: &Attempt) {
+    if !job.failed_on.contains(&attempt.machine) && job.failed_on.len() < MAX_AVOIDED_MACHINES {
         job.failed_on.push(attempt.machine);
     } else {
         job.failed_on.clear();
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -1,5 +1,5 @@
-//! What the leader of a shard knows: the state of each slice, and the steps that concern
-//! several of them.
+//! The leader's state of its shard, and the operations that involve several of the modules that
+//! hold parts of this state.
 
 mod attempts;
 mod jobs;
@@ -21,32 +21,34 @@
 use crate::wire::Catalogue;
 use crate::workers::Workers;
 
-/// Everything that the leader of a shard knows of it. Made anew for every term.
+/// The leader's state of its shard. It is created anew for each term.
 pub struct Shard {
-    /// The shard's name, which is part of its keys.
+    /// The shard's name, which is part of its keys in the state service.
     pub name: String,
     /// The term in which this leader was elected.
     pub term: u64,
-    /// What operators set for placement and scaling.
+    /// The operator's policy for placement and scaling.
     pub policy: Policy,
-    /// The time of day of the step now going on.
+    /// The wall-clock time of the current step, in milliseconds since the Unix epoch.
     pub wall_clock: Millis,
-    /// The types of machines and the zones.
+    /// The machine types and the zones of the cloud.
     pub topology: Topology,
-    /// The jobs, their tasks and the quotas of teams.
+    /// The jobs, their tasks and the quotas of the teams.
     pub jobs: Jobs,
-    /// The machines and the attempts on them.
+    /// The machines, their workers and the attempts on them.
     pub workers: Workers,
-    /// What is rented, and what is known of it to a successor.
+    /// The state of scaling, and the stored inventory of machines from which a new leader takes
+    /// over.
     pub fleet: Fleet,
-    /// What is to be written, and the transaction in flight.
+    /// The changes to write to the state service, and the transaction in flight.
     pub pending_writes: PendingWrites,
-    /// Chooses the tasks that have to make room for others.
+    /// Chooses the tasks that are stopped to make room for jobs of higher priority.
     pub preemptor: Preemptor,
 }
 
 impl Shard {
-    /// A shard of which nothing is known yet but the settings and the policy.
+    /// Creates a shard without jobs and machines. They are loaded from the state service
+    /// afterwards.
     pub fn new(name: &str, term: u64, settings: &Settings, policy: &Policy) -> Shard {
         let params = &settings.params;
         Shard {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Takes the machine types of the cloud's catalogue.
+    /// Replaces the machine types by those of the cloud's catalogue.
     pub fn set_catalogue(&mut self, catalogue: &Catalogue) {
         self.topology.set_catalogue(catalogue);
     }
