--- a/src/controller/shard/scheduling.rs
+++ b/src/controller/shard/scheduling.rs
@@ -1,4 +1,4 @@
-//! Placement and preemption: applies what the scheduler decides.
+//! Placement and preemption: applies the decisions of the scheduler to the shard.
 
 use super::Shard;
 use crate::ids::AttemptIx;
@@ -7,13 +7,14 @@
 use crate::{Millis, Now};
 
 impl Shard {
-    /// Plans attempts for released tasks. They start once they are written.
+    /// Runs a placement round and queues the writes of the planned attempts. An attempt starts
+    /// only once its record is written.
     pub fn place(&mut self, now: Millis) {
         let chunks = placement::place(self.placement_context(now));
         self.pending_writes.queue_urgent_chunks(chunks);
     }
 
-    /// Stops tasks of lower priority where a task has waited for room too long.
+    /// Stops tasks of lower priority to make room for jobs that have waited for it too long.
     pub fn preempt(&mut self, now: Millis) {
         let cluster = Cluster {
             now: Now {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// What a round of placement reads and changes.
+    /// Returns the parts of the shard that a placement round reads and changes.
     pub(super) fn placement_context(&mut self, now: Millis) -> PlacementContext<'_> {
         PlacementContext {
             now: Now {
@@ -45,6 +46,7 @@
         }
     }
 
+    /// Stops an attempt that was chosen for preemption.
     fn stop_victim(&mut self, now: Millis, attempt_ix: AttemptIx) {
         let Some(attempt) = self.workers.attempts.get_mut(attempt_ix) else {
             return;
--- a/src/controller/shard/transactions.rs
+++ b/src/controller/shard/transactions.rs
@@ -1,5 +1,4 @@
-//! The transactions of the shard: how the next one is put together from the state of all
-//! slices, and what follows from its outcome.
+//! The shard's transactions: builds the next one, and applies the result of the one in flight.
 
 use super::Shard;
 use crate::Millis;
@@ -10,35 +9,39 @@
 use std::sync::Arc;
 
 impl Shard {
-    /// Whether something is to be written that work or users wait for.
+    /// Whether there are changes to write that tasks or users wait for.
     pub fn has_urgent_writes(&self) -> bool {
         self.pending_writes.is_urgent() || self.fleet.inventory.has_urgent()
     }
 
-    /// Builds the next transaction, if there is anything to write and none is
-    /// in flight. What nobody waits for gets no more than `spare` changes, so
-    /// that it never delays the next starts.
+    /// Builds the next transaction and marks it as in flight. Returns `None` if a transaction is
+    /// already in flight or there is nothing to write.
+    ///
+    /// The transaction has at most `max_changes` changes. Changes that nothing waits for are
+    /// added only up to `max_deferrable_changes`, so that they never delay the next starts of
+    /// tasks.
     pub fn next_transaction(
         &mut self,
         now: Millis,
         keys: &Keys,
         claim: Condition,
-        max_ops: usize,
-        spare: usize,
+        max_changes: usize,
+        max_deferrable_changes: usize,
     ) -> Option<Arc<Transaction>> {
         if self.pending_writes.is_in_flight() {
             return None;
         }
         self.forget_deleted_jobs();
         let limits = ChangeLimits {
-            total: max_ops,
-            deferrable_cutoff: spare,
+            total: max_changes,
+            deferrable_cutoff: max_deferrable_changes,
         };
         let (pending_writes, context) = self.write_context();
         pending_writes.next_transaction(now, keys, context, claim, limits)
     }
 
-    /// The transaction in flight was applied at `revision`.
+    /// Updates the state after the transaction in flight was applied at `revision`, the revision
+    /// of the state service.
     pub fn committed(&mut self, now: Millis, revision: u64) {
         let (pending_writes, context) = self.write_context();
         let effects = pending_writes.committed(context, revision);
@@ -52,17 +55,18 @@
         for request in effects.machine_requests {
             self.fleet.add_machine_request(request.record, request.version);
         }
-        // A cancel may have come while this was written.
+        // Jobs may have been cancelled while the transaction was in flight.
         self.stop_cancelled_jobs(now);
     }
 
-    /// The transaction in flight was surely not applied: everything in it has
-    /// to be considered again.
+    /// Queues the changes of the transaction in flight again, when it is certain that it was not
+    /// applied.
     pub fn not_applied(&mut self) {
         let (pending_writes, context) = self.write_context();
         pending_writes.not_applied(context);
     }
 
+    /// Returns the pending writes, and the parts of the shard that writing reads and changes.
     fn write_context(&mut self) -> (&mut PendingWrites, WriteContext<'_>) {
         let context = WriteContext {
             jobs: &mut self.jobs,
