--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -1,4 +1,5 @@
-//! Machines that appear, are listed and are deleted.
+//! Changes to the set of machines: adds the ones that are provisioned, listed by the cloud or
+//! seen in reports, and removes deleted ones.
 
 use super::Shard;
 use crate::Millis;
@@ -8,7 +9,8 @@
 use crate::workers::{Machine, Outcome};
 
 impl Shard {
-    /// A machine that the cloud told of, or one asked for and granted.
+    /// Adds a machine that the cloud has listed or has provisioned for a request, and puts it into
+    /// the inventory.
     pub fn add_machine(&mut self, now: Millis, name: &str, type_name: &str, zone: &str, spot: bool) -> MachineIx {
         let offer = self.offer(type_name, zone, spot);
         let ix = self.workers.machines.insert(name, Machine::new(name, offer, now));
@@ -16,9 +18,9 @@
         ix
     }
 
-    /// A machine that only a report speaks of. The report may be a late copy,
-    /// from a machine returned long ago, so it counts for nothing until the
-    /// cloud lists it or it answers a command.
+    /// Adds a machine that is known only from a report. The report may be a delayed copy from a
+    /// machine that was returned long ago. The machine is therefore neither used nor counted as
+    /// capacity until the cloud lists it or its worker replies to a direct command.
     pub fn add_unverified_machine(&mut self, now: Millis, report: &Report) -> MachineIx {
         let offer = self.offer(&report.machine_type, &report.zone, report.spot);
         let machine = Machine::new(&report.machine, offer, now);
@@ -27,7 +29,8 @@
         ix
     }
 
-    /// A way of renting a machine, by the names that the cloud and the workers use.
+    /// Returns the offer for the names of a machine type and a zone, as the cloud and the workers
+    /// use them.
     fn offer(&mut self, type_name: &str, zone: &str, spot: bool) -> Offer {
         Offer {
             type_ix: self.topology.type_ix(type_name),
@@ -36,7 +39,8 @@
         }
     }
 
-    /// The machine is surely there: a successor must know of it.
+    /// Puts a machine that certainly exists into the inventory, so that the next leader will know
+    /// of it. Has no effect if the machine is already there.
     pub fn add_to_inventory(&mut self, ix: MachineIx) {
         if let Some(machine) = self.workers.machines.get_mut(ix)
             && machine.group.is_none()
@@ -45,17 +49,17 @@
         }
     }
 
-    /// The cloud confirmed that these machines are gone, with all on them.
+    /// Removes machines whose deletion the cloud has confirmed. All attempts on them are lost.
     pub fn remove_deleted_machines(&mut self, now: Millis, names: &[String]) {
         for name in names {
             if let Some(ix) = self.workers.machines.find(name) {
-                self.machine_gone(now, name, ix);
+                self.remove_deleted_machine(now, name, ix);
             }
         }
         self.workers.expire_tombstones(now);
     }
 
-    fn machine_gone(&mut self, now: Millis, name: &str, ix: MachineIx) {
+    fn remove_deleted_machine(&mut self, now: Millis, name: &str, ix: MachineIx) {
         let Some(machine) = self.workers.machines.get(ix) else {
             return;
         };
@@ -66,18 +70,18 @@
         if let Some(group) = removed.and_then(|machine| machine.group) {
             self.fleet.inventory.remove(group, ix);
         }
-        // The index may be given to another machine.
+        // The index may be reused for another machine.
         for (_, job) in self.jobs.table.iter_mut() {
             job.failed_on.retain(|&failed| failed != ix);
         }
     }
 
-    /// One page of the cloud's list. Lists lag and may go back in time, so
-    /// absence proves nothing; what is there is learned.
+    /// Merges one page of the cloud's machine list: adds and updates the machines on it. Lists lag
+    /// and may go back in time, so the absence of a machine proves nothing.
     pub fn merge_machine_list(&mut self, now: Millis, page: &MachineList) {
         for listed in &page.machines {
             if !self.workers.was_recently_deleted(&listed.id) {
-                self.machine_listed(now, listed);
+                self.merge_listed_machine(now, listed);
             }
         }
         if !page.more {
@@ -85,7 +89,7 @@
         }
     }
 
-    fn machine_listed(&mut self, now: Millis, listed: &ListedMachine) {
+    fn merge_listed_machine(&mut self, now: Millis, listed: &ListedMachine) {
         let ix = match self.workers.machines.find(&listed.id) {
             Some(ix) => ix,
             None => self.add_machine(now, &listed.id, &listed.machine_type, &listed.zone, listed.spot),
--- a/src/controller/shard/reports.rs
+++ b/src/controller/shard/reports.rs
@@ -1,5 +1,5 @@
-//! Reports of workers: merging them, answering them, and closing what they or an expired
-//! lease prove over.
+//! Worker reports: merges them, returns the commands that answer them, and closes the attempts
+//! that have ended according to a report or because a lease has expired.
 
 use super::Shard;
 use crate::Millis;
@@ -8,15 +8,15 @@
 use crate::workers::{MergeOutcome, MergedReport, ReceivedReport, ReportPath};
 
 impl Shard {
-    /// Merges a report, whether it came by itself or answered direct commands.
+    /// Merges a report that a worker sent on its own or in reply to direct commands.
     pub fn merge_report(&mut self, now: Millis, report: &Report, path: ReportPath) -> MergeOutcome {
         if let Some(rejected) = self.workers.reject_report(report, self.term) {
             return rejected;
         }
         let ix = match self.workers.machines.find(&report.machine) {
             Some(ix) => ix,
-            // Not rented by anybody we know of, or rented late: it is used, or
-            // returned once idle, like any other.
+            // No request known to this leader provisioned the machine, or one did so late. The
+            // machine is used, or returned once idle, like any other.
             None => self.add_unverified_machine(now, report),
         };
         if path == ReportPath::CommandReply {
@@ -32,7 +32,7 @@
         self.apply_report(now, merged)
     }
 
-    /// Applies what follows from a report for jobs, teams and the inventory.
+    /// Applies the consequences of a merged report for jobs, teams and the inventory.
     fn apply_report(&mut self, now: Millis, merged: MergedReport) -> MergeOutcome {
         self.fleet.inventory.address_changed(merged.group_to_rewrite);
         for ended in merged.ended {
@@ -42,24 +42,25 @@
         merged.outcome
     }
 
-    /// What a report is answered with, and so what the next one must show.
+    /// Returns the commands for the answer to a machine's report, and records which effects the
+    /// next report must show.
     pub fn answer_commands(&mut self, now: Millis, ix: MachineIx) -> Vec<Command> {
         self.workers.answer_commands(now, self.term, ix, &self.jobs)
     }
 
-    /// Everything that a machine should be told now, in order.
+    /// Returns the commands that a machine's worker should receive now, in order.
     pub fn commands(&mut self, now: Millis, ix: MachineIx) -> Vec<Command> {
         self.workers.commands(now, self.term, ix, &self.jobs)
     }
 
-    /// Closes everything on machines whose worker's lease has surely expired.
+    /// Closes all attempts on machines whose worker's lease has certainly expired.
     pub fn close_expired_attempts(&mut self, now: Millis) {
         for expired in self.workers.expired_attempts(now) {
             self.close_attempt(now, expired.attempt, expired.outcome);
         }
     }
 
-    /// Stops in time what runs on machines that the cloud is about to take.
+    /// Stops tasks on machines that the cloud is about to reclaim, in time before the reclaim.
     pub fn drain(&mut self, now: Millis) {
         self.workers.drain(now, &self.jobs);
     }
--- a/src/controller/shard/scaling.rs
+++ b/src/controller/shard/scaling.rs
@@ -1,5 +1,5 @@
-//! Scaling the fleet of the shard: the plan of the fleet, applied to the machines and to
-//! what is to be written.
+//! Scaling of the fleet: applies the fleet's health assessment and its scaling plan to the
+//! machines and to the pending writes.
 
 use super::Shard;
 use crate::Millis;
@@ -7,7 +7,8 @@
 use crate::ids::MachineIx;
 
 impl Shard {
-    /// Looks over the machines and the forecast; asks for machines and decommissions them.
+    /// Decommissions failed machines, updates the forecast, then requests new machines and
+    /// decommissions idle ones. Does nothing until planning is due again.
     pub fn plan_fleet(&mut self, now: Millis) {
         if !self.fleet.start_planning(now) {
             return;
@@ -22,7 +23,8 @@
         self.decommission(&plan.idle_machines);
     }
 
-    /// Decommissions what is past use; its deletion is the proof that its tasks are over.
+    /// Decommissions failed machines and marks unresponsive ones. Only the deletion of a failed
+    /// machine proves that its tasks are over.
     pub(super) fn decommission_failed(&mut self, now: Millis) {
         let (fleet, context) = self.fleet_and_context(now);
         let assessment = fleet.assess_health(&context);
@@ -34,6 +36,7 @@
         self.decommission(&assessment.failed);
     }
 
+    /// Marks machines as decommissioned, so that they get no new tasks and are deleted.
     fn decommission(&mut self, machines: &[MachineIx]) {
         for &ix in machines {
             if let Some(machine) = self.workers.machines.get_mut(ix) {
@@ -42,7 +45,7 @@
         }
     }
 
-    /// The fleet, and what its planning reads of the shard.
+    /// Returns the fleet, and the parts of the shard that its planning reads.
     pub(super) fn fleet_and_context(&mut self, now: Millis) -> (&mut Fleet, FleetContext<'_>) {
         let context = FleetContext {
             now,
