--- a/src/controller/shard/jobs.rs
+++ b/src/controller/shard/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that appear, change and go in the watched keys.
+//! Addition, update and removal of jobs as their watched keys change.
 
 use super::Shard;
 use crate::Millis;
@@ -8,7 +8,8 @@
 use crate::wire::{JobState, TaskState};
 
 impl Shard {
-    /// A job key appeared or changed.
+    /// Adds or updates a job whose key appeared or changed. A change that is not newer than the
+    /// known version is ignored.
     pub fn job_changed(&mut self, now: Millis, id: &str, key: &JobKey, version: u64) {
         match self.jobs.table.find(id) {
             Some(ix) => self.update_job(now, ix, key, version),
@@ -20,7 +21,7 @@
         match self.jobs.add(id, key, version, &mut self.topology) {
             Ok(ix) if key.ended.is_some() => self.pending_writes.queue_clean_up(ix),
             Ok(_) => {}
-            Err(error) => tracing::error!(job = id, %error, "a job can't be taken"),
+            Err(error) => tracing::error!(job = id, %error, "can't add a job"),
         }
     }
 
@@ -41,10 +42,10 @@
         }
     }
 
-    /// Forgets jobs whose keys are gone. An old event, read before a job's last
-    /// clean-up and taken in after it, may have brought the job back; nothing
-    /// could ever be written of it again. Not while a transaction is in flight:
-    /// it names jobs by index.
+    /// Removes jobs whose keys have been deleted. An old event, read before a job's last clean-up
+    /// and applied after it, may have added the job again, but no write for it could succeed any
+    /// more. Must not be called while a transaction is in flight, since that refers to jobs by
+    /// index.
     pub fn forget_deleted_jobs(&mut self) {
         for id in self.jobs.take_deleted() {
             let Some(job) = self.jobs.find(&id) else {
@@ -53,26 +54,27 @@
             if job.open.is_empty() {
                 self.remove_job(&id);
             } else {
-                tracing::error!(job = id, "a job's key is gone while its tasks are open");
+                tracing::error!(job = id, "the key of a job with open attempts was deleted");
                 self.workers.needs_higher_term = true;
             }
         }
     }
 
-    /// Removes a job of which nothing is left to write.
+    /// Removes a job for which nothing is left to write.
     pub fn remove_job(&mut self, id: &str) {
         let Some(ix) = self.jobs.table.find(id) else {
             return;
         };
         let removed = self.jobs.table.remove(id);
         self.pending_writes.forget_job(ix);
-        // Its index may be given to another.
+        // The index may be reused for another job.
         if removed.is_some_and(|job| job.consecutive_failures > 0) {
             self.clear_failures_of_job(ix);
         }
     }
 
-    /// Tasks done and on machines, for display.
+    /// Returns how many tasks of a job are done and how many are running or saving, for display;
+    /// `None` if the job is unknown.
     pub fn task_counts(&self, id: &str) -> Option<TaskCounts> {
         let job = self.jobs.find(id)?;
         let is_running = |ix| {
--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -1,6 +1,6 @@
-//! What a new leader reads back from the state service: machines first, then machine
-//! requests, then every written chunk of tasks. Jobs come by the watch cache before
-//! the chunks.
+//! Loading of the state that the former leader stored in the state service: first the machines,
+//! then the machine requests, then all written chunks of tasks. Jobs come from the watch cache
+//! and are added before the chunks.
 
 use super::Shard;
 use crate::Millis;
@@ -13,17 +13,17 @@
 use crate::workers::{Attempt, Machine, RecordState};
 use thiserror::Error;
 
-/// Why a key of the former leader can't be taken over.
+/// Why a value that the former leader stored can't be loaded.
 #[derive(Debug, Error)]
 enum LoadError {
     #[error(transparent)]
     Value(#[from] StoredValueError),
-    #[error("`{key}` is of a job that is not there")]
+    #[error("`{key}` belongs to a job that does not exist")]
     UnknownJob { key: String },
 }
 
 impl Shard {
-    /// Takes over a group of the inventory with its machines.
+    /// Loads an inventory group and its machines. Logs an error if the value can't be read.
     pub fn load_group(&mut self, now: Millis, name: &str, entry: &Entry) {
         match read_value::<GroupValue>(entry) {
             Ok(value) => {
@@ -32,7 +32,7 @@
                     self.load_machine(now, group, member);
                 }
             }
-            Err(error) => tracing::error!(%error, "a group of the inventory is left out"),
+            Err(error) => tracing::error!(%error, "skipped an inventory group that can't be loaded"),
         }
     }
 
@@ -47,7 +47,7 @@
             address,
             group: Some(group_ix),
             is_persisted: true,
-            // A start sent under an earlier term may still be on its way.
+            // A start command of an earlier term may still arrive.
             unconfirmed_start_term: self.term.saturating_sub(1),
             ..Machine::new(&name, Offer { type_ix, zone, spot }, now)
         };
@@ -55,18 +55,20 @@
         self.fleet.inventory.add_member(group_ix, ix);
     }
 
-    /// Takes over a machine request, to be sent again until it is answered.
+    /// Loads a machine request, which is sent to the cloud again until it is answered. Logs an
+    /// error if the value can't be read.
     pub fn load_machine_request(&mut self, entry: &Entry) {
         match read_value::<MachineRequestRecord>(entry) {
             Ok(value) => self.fleet.add_machine_request(value, entry.version),
-            Err(error) => tracing::error!(%error, "a machine request is left out"),
+            Err(error) => tracing::error!(%error, "skipped a machine request that can't be loaded"),
         }
     }
 
-    /// Takes over a chunk of a job's tasks: what is done, and what may be running.
+    /// Loads a chunk of a job's tasks: the tasks that are done, and the attempts that may be
+    /// running. Logs an error if the value can't be read or the job does not exist.
     pub fn load_chunk(&mut self, now: Millis, job: &str, number: u32, entry: &Entry) {
         if let Err(error) = self.try_load_chunk(now, job, number, entry) {
-            tracing::error!(%error, "a chunk of tasks is left out");
+            tracing::error!(%error, "skipped a task chunk that can't be loaded");
         }
     }
 
@@ -90,17 +92,17 @@
         Ok(())
     }
 
-    /// Takes over an attempt that the former leader left open.
+    /// Loads an attempt that the former leader left open.
     fn load_attempt(&mut self, now: Millis, job_ix: JobIx, record: &OpenAttemptRecord) {
         let Some(machine_ix) = self.workers.machines.find(&record.machine) else {
-            // The inventory drops a machine only after a deletion that the cloud
-            // confirmed, so nothing of it is left.
+            // A machine is removed from the inventory only after the cloud has confirmed its
+            // deletion, so the attempt has ended.
             return;
         };
         let Some(job) = self.jobs.table.get_mut(job_ix) else {
             return;
         };
-        let attempt = loaded_attempt(job_ix, job, machine_ix, record);
+        let attempt = attempt_from_record(job_ix, job, machine_ix, record);
         let attempt_ix = self.workers.attempts.insert(attempt);
         job.open.insert(record.task, attempt_ix);
         let resources = job.shape.resources;
@@ -115,7 +117,8 @@
         self.jobs.quota_mut(team).used.add(resources);
     }
 
-    /// After loading: sets going what needs no event to go on.
+    /// Completes loading: queues the clean-ups and the ends of jobs that are due without any
+    /// further event.
     pub fn finish_loading(&mut self) {
         for (ix, job) in self.jobs.table.iter() {
             if job.ended.is_some() {
@@ -129,12 +132,12 @@
     }
 }
 
-/// An attempt as far as its record tells.
-fn loaded_attempt(job_ix: JobIx, job: &Job, machine: MachineIx, record: &OpenAttemptRecord) -> Attempt {
+/// Returns the attempt that a stored record describes.
+fn attempt_from_record(job_ix: JobIx, job: &Job, machine: MachineIx, record: &OpenAttemptRecord) -> Attempt {
     Attempt {
         record: RecordState::Written,
-        // Nobody knows any more; what may have run long is not to be
-        // stopped as if it had just begun.
+        // The start is not stored. The earliest possible time is assumed, because a task that
+        // may have run for long must not be stopped as if it had just started.
         running_since: Some(0),
         stop_grace_s: job.ended.is_some().then_some(0.0),
         ..Attempt::new(job_ix, record.task, record.attempt, machine, record.agent_epoch)
