--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -135,7 +135,7 @@
 }
 
 /// Makes a job avoid the machine on which its attempt failed. If the job already avoids this
-/// machine, or as many machines as it may, all machines are allowed again.
+/// machine, or already avoids [`MAX_AVOIDED_MACHINES`], it may use all machines again.
 fn update_avoided_machines(job: &mut Job, attempt: &Attempt) {
     if !job.failed_on.contains(&attempt.machine) && job.failed_on.len() < MAX_AVOIDED_MACHINES {
         job.failed_on.push(attempt.machine);
--- a/src/controller/shard/jobs.rs
+++ b/src/controller/shard/jobs.rs
@@ -44,8 +44,8 @@
 
     /// Removes jobs whose keys have been deleted. An old event, read before a job's last clean-up
     /// and applied after it, may have added the job again, but no write for it could succeed any
-    /// more. Must not be called while a transaction is in flight, since that refers to jobs by
-    /// index.
+    /// more. Must not be called while a transaction is in flight, since the transaction
+    /// refers to jobs by index.
     pub fn forget_deleted_jobs(&mut self) {
         for id in self.jobs.take_deleted() {
             let Some(job) = self.jobs.find(&id) else {
--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -117,8 +117,8 @@
         self.jobs.quota_mut(team).used.add(resources);
     }
 
-    /// Completes loading: queues the clean-ups and the ends of jobs that are due without any
-    /// further event.
+    /// Completes loading: queues the clean-ups of ended jobs and the ends of complete jobs, since
+    /// no later event would queue them.
     pub fn finish_loading(&mut self) {
         for (ix, job) in self.jobs.table.iter() {
             if job.ended.is_some() {
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -47,7 +47,7 @@
 }
 
 impl Shard {
-    /// Creates a shard without jobs and machines. They are loaded from the state service
+    /// Creates a shard without any jobs or machines. They are loaded from the state service
     /// afterwards.
     pub fn new(name: &str, term: u64, settings: &Settings, policy: &Policy) -> Shard {
         let params = &settings.params;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Replaces the machine types by those of the cloud's catalogue.
+    /// Sets the machine types from the cloud's catalogue.
     pub fn set_catalogue(&mut self, catalogue: &Catalogue) {
         self.topology.set_catalogue(catalogue);
     }
--- a/src/controller/shard/transactions.rs
+++ b/src/controller/shard/transactions.rs
@@ -40,8 +40,8 @@
         pending_writes.next_transaction(now, keys, context, claim, limits)
     }
 
-    /// Updates the state after the transaction in flight was applied at `revision`, the revision
-    /// of the state service.
+    /// Updates the state after the transaction in flight was applied at this revision of the state
+    /// service.
     pub fn committed(&mut self, now: Millis, revision: u64) {
         let (pending_writes, context) = self.write_context();
         let effects = pending_writes.committed(context, revision);
