--- a/src/controller/shard/tests.rs
+++ b/src/controller/shard/tests.rs
@@ -15,7 +15,8 @@
 use crate::wire::{JobSpec, MachineType};
 use serde_json::json;
 
-/// A shard that knows types of machines by name and CPUs, and one job.
+/// Returns a shard with machine types of these names and numbers of CPUs, and with the job `j-1`,
+/// whose tasks require 4 CPUs each. `spot` says whether the job may run on spot machines.
 pub fn shard_with(term: u64, types: &[(&str, f64)], tasks: u32, spot: bool) -> Shard {
     let settings = Settings::parse(SAMPLE).expect("valid settings");
     let mut shard = Shard::new("pool", term, &settings, &Policy::default());
@@ -35,7 +36,7 @@
     let spec: JobSpec = serde_json::from_value(json!({"id":"j-1","lotType":"sort","consignor":"floor",
         "saleFormat":"array","bidRank":"high","lots":tasks,"cores":4.0,"cards":0.0,"memGb":8.0,"catalog":"img",
         "pullGb":1.0,"oneZone":false,"scatter":false,"loaner":spot,"appraisedS":5.0,"tallyS":0.0,"ledgerS":0.0}))
-    .expect("a job");
+    .expect("valid job");
     let key = JobKey {
         spec,
         accepted_ms: 0,
--- a/src/controller/shard/tests/answers.rs
+++ b/src/controller/shard/tests/answers.rs
@@ -1,14 +1,14 @@
-//! Workers that answers and commands do not seem to reach.
+//! Workers that don't receive answers and commands.
 
 use super::worker_fixture::*;
 use crate::wire::TaskState;
 use crate::workers::ReportPath;
 
-/// Guards against giving tasks for ever to a machine whose reports arrive
-/// while answers and commands don't reach it.
+/// Guards against placing tasks indefinitely on a machine whose reports arrive, but which neither
+/// answers nor commands reach.
 #[test]
 fn a_machine_that_no_answer_reaches_is_cordoned_and_decommissioned() {
-    let (mut shard, machine) = shard();
+    let (mut shard, machine) = shard_with_worker();
     let mut decommissioned_after = None;
     for seq in 2..12 {
         let now = seq * 5_000;
@@ -22,15 +22,15 @@
         }
     }
     assert_eq!(decommissioned_after, Some(4));
-    // What was started there is proven over by other means only.
-    assert_eq!(open(&shard), 1);
+    // Decommissioning alone does not prove that the task on the machine has ended.
+    assert_eq!(open_attempt_count(&shard), 1);
 }
 
-/// Guards against tasks for machines that hang or are cut off: they waited
-/// there until the lease had expired (zone days of the fleet deployments).
+/// Guards against placing tasks on machines that hang or are disconnected. The tasks waited there
+/// until the worker's lease expired, as seen in fleet deployments with zone outages.
 #[test]
-fn a_machine_late_with_its_report_or_an_answer_gets_nothing_new() {
-    let (mut shard, machine) = shard();
+fn a_machine_with_an_overdue_report_or_an_unanswered_command_gets_no_new_tasks() {
+    let (mut shard, machine) = shard_with_worker();
     shard.merge_report(0, &report(1, 2, 5, Vec::new()), ReportPath::Heartbeat);
     let due = machine_of(&shard, machine).report_due;
     assert!(due > crate::millis(shard.workers.report_s * 1.25));
@@ -43,26 +43,26 @@
 }
 
 #[test]
-fn one_lost_answer_is_made_up_for_by_the_next_sign() {
-    let (mut shard, machine) = shard();
+fn a_report_that_shows_the_expected_effect_resets_the_missed_answers() {
+    let (mut shard, machine) = shard_with_worker();
     shard.answer_commands(0, machine);
     shard.merge_report(5_000, &report(1, 2, 5, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(machine_of(&shard, machine).missed_answers, 1);
     shard.answer_commands(5_000, machine);
     shard.merge_report(
         10_000,
-        &report(1, 3, 5, vec![task(TaskState::Fetching, None)]),
+        &report(1, 3, 5, vec![task_report(TaskState::Fetching, None)]),
         ReportPath::Heartbeat,
     );
     assert_eq!(machine_of(&shard, machine).missed_answers, 0);
 }
 
-/// Guards against an idle machine that rests for ever: its lease had run out soon
-/// after an answer, nothing was expected of it any more, and the question that
-/// would have cleared it was dropped with every answer (drawn meetings, seed 216).
+/// Guards against a machine that stays idle forever. Its lease expired soon after an answer, so no
+/// later report had to show an effect, and every answer dropped the direct command whose reply
+/// would have reset the missed answers (`meetings`, seed 216).
 #[test]
-fn a_machine_whose_lease_ran_out_is_asked_directly_and_used_again() {
-    let (mut shard, machine) = shard();
+fn a_machine_whose_lease_expired_is_contacted_directly_and_used_again() {
+    let (mut shard, machine) = shard_with_worker();
     shard.merge_report(10, &report(2, 1, 5, Vec::new()), ReportPath::Heartbeat);
     assert!(!machine_of(&shard, machine).usable(10));
     shard.answer_commands(10, machine);
--- a/src/controller/shard/tests/attempts.rs
+++ b/src/controller/shard/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Where the next attempt at a task goes, and what a closed one leaves behind.
+//! Placement of a task's next attempt, and what remains of a closed attempt.
 
 use super::worker_fixture::*;
 use crate::Millis;
@@ -7,84 +7,84 @@
 use crate::wire::{ExitReason, Report, TaskState};
 use crate::workers::{Outcome, ReportPath};
 
-/// Guards against a start that arrives late, after a later attempt of the
-/// same task ran on the same machine: the task ran once more, beyond its
-/// team's limit (drawn troubles, seed 249).
+/// Guards against a start command that arrives late, after a later attempt of the same task has run
+/// on the same machine. The task then ran once more, in excess of its team's quota (random faults,
+/// seed 249).
 #[test]
-fn a_task_does_not_go_where_its_earlier_attempt_is_still_listed() {
-    let (mut shard, machine) = shard();
+fn a_task_is_not_placed_on_a_machine_that_lists_its_earlier_attempt() {
+    let (mut shard, machine) = shard_with_worker();
     shard.merge_report(
         10,
-        &report(1, 2, 5, vec![task(TaskState::Exited, Some(ExitReason::Stopped))]),
+        &report(1, 2, 5, vec![task_report(TaskState::Exited, Some(ExitReason::Stopped))]),
         ReportPath::Heartbeat,
     );
-    assert_eq!(open(&shard), 0);
+    assert_eq!(open_attempt_count(&shard), 0);
     shard.place(10);
-    assert_eq!(open(&shard), 0);
+    assert_eq!(open_attempt_count(&shard), 0);
     shard.merge_report(20, &report(1, 3, 5, Vec::new()), ReportPath::Heartbeat);
-    let job = shard.jobs.table.find("j-1").expect("known");
-    shard.jobs.table.get_mut(job).expect("there").failed_on.clear();
+    let job = shard.jobs.table.find("j-1").expect("known job");
+    shard.jobs.table.get_mut(job).expect("known job").failed_on.clear();
     shard.place(20);
     assert_eq!(machine_of(&shard, machine).open.len(), 1);
 }
 
-/// Guards against a job that waited for ever beside an idle machine: the one that
-/// held its image listed an earlier attempt, and was tried first every time
-/// (jobs bound to a zone, seed 199).
+/// Guards against a job that waits forever although a machine is idle. Another machine, which had
+/// the job's image cached but listed an earlier attempt, was tried first in every round (jobs
+/// restricted to one zone, seed 199).
 #[test]
-fn a_machine_that_lists_an_earlier_attempt_does_not_hide_the_others() {
+fn a_machine_that_lists_an_earlier_attempt_does_not_block_the_others() {
     let mut shard = shard_with(5, &[("small", 8.0), ("small", 8.0)], 1, false);
-    let stale = |name: &str, seq, tasks| Report {
+    let report_of = |name: &str, seq, tasks| Report {
         machine: name.into(),
         ..report(1, seq, 5, tasks)
     };
     for name in ["host-1", "host-2"] {
-        shard.merge_report(0, &stale(name, 1, Vec::new()), ReportPath::CommandReply);
-        let machine = shard.workers.machines.find(name).expect("known");
-        let known = machine_of_mut(&mut shard, machine);
-        known.is_persisted = true;
-        known.report_due = Millis::MAX;
+        shard.merge_report(0, &report_of(name, 1, Vec::new()), ReportPath::CommandReply);
+        let machine = shard.workers.machines.find(name).expect("known machine");
+        let machine_state = machine_of_mut(&mut shard, machine);
+        machine_state.is_persisted = true;
+        machine_state.report_due = Millis::MAX;
     }
-    let job = shard.jobs.table.find("j-1").expect("known");
-    let image = shard.jobs.table.get(job).expect("there").image;
-    let listing = shard.workers.machines.find("host-1").expect("known");
-    machine_of_mut(&mut shard, listing).touch_image(image, 1.0, 50.0);
-    let ended = task(TaskState::Exited, Some(ExitReason::Stopped));
-    shard.merge_report(10, &stale("host-1", 2, vec![ended]), ReportPath::Heartbeat);
-    // Three machines that are long gone fill what it remembers.
-    shard.jobs.table.get_mut(job).expect("there").failed_on = [90, 91, 92].map(MachineIx).to_vec();
+    let job = shard.jobs.table.find("j-1").expect("known job");
+    let image = shard.jobs.table.get(job).expect("known job").image;
+    let listing_machine = shard.workers.machines.find("host-1").expect("known machine");
+    machine_of_mut(&mut shard, listing_machine).touch_image(image, 1.0, 50.0);
+    let ended = task_report(TaskState::Exited, Some(ExitReason::Stopped));
+    shard.merge_report(10, &report_of("host-1", 2, vec![ended]), ReportPath::Heartbeat);
+    // Three machines that no longer exist fill the job's list of machines to avoid.
+    shard.jobs.table.get_mut(job).expect("known job").failed_on = [90, 91, 92].map(MachineIx).to_vec();
     shard.place(20);
-    let other = shard.workers.machines.find("host-2").expect("known");
-    assert_eq!(machine_of(&shard, other).open.len(), 1);
+    let other_machine = shard.workers.machines.find("host-2").expect("known machine");
+    assert_eq!(machine_of(&shard, other_machine).open.len(), 1);
 }
 
-/// Guards against a job that keeps off the only machines that fit it: it had
-/// failed on each while they were sick.
+/// Guards against a job that keeps avoiding the only machines that fit it, after it failed on each
+/// of them while they were unhealthy.
 #[test]
-fn a_job_goes_back_to_the_machines_it_failed_on_when_no_other_fits() {
-    let (mut shard, machine) = shard();
+fn a_job_returns_to_the_machines_it_failed_on_when_no_other_fits() {
+    let (mut shard, machine) = shard_with_worker();
     let attempt = machine_of(&shard, machine).open[0];
     shard.close_attempt(0, attempt, Outcome::Error);
     for now in [6_000, 12_000] {
         shard.place(now);
-        assert_eq!(open(&shard), 0);
+        assert_eq!(open_attempt_count(&shard), 0);
     }
     shard.place(17_000);
     shard.place(17_500);
-    assert_eq!(open(&shard), 1);
+    assert_eq!(open_attempt_count(&shard), 1);
 }
 
-/// Guards against an index that a job leaves behind in the pending writes: it was
-/// given to a smaller job, and writing its chunk ended the process.
+/// Guards against the index of a removed job that stays in the pending writes. The index was reused
+/// for a smaller job, and writing the chunk, which that job does not have, ended the process.
 #[test]
-fn a_removed_job_leaves_nothing_to_write() {
-    let (mut shard, _) = shard();
+fn a_removed_job_leaves_no_pending_writes() {
+    let (mut shard, _) = shard_with_worker();
     shard.merge_report(
         10,
-        &report(1, 2, 5, vec![task(TaskState::Exited, Some(ExitReason::Error))]),
+        &report(1, 2, 5, vec![task_report(TaskState::Exited, Some(ExitReason::Error))]),
         ReportPath::Heartbeat,
     );
-    let job = shard.jobs.table.find("j-1").expect("known");
+    let job = shard.jobs.table.find("j-1").expect("known job");
     shard.pending_writes.queue_deferrable_chunk(ChunkId { job, number: 7 });
     shard.pending_writes.queue_clean_up(job);
     shard.jobs.note_deleted("j-1".into());
@@ -93,72 +93,68 @@
     assert!(!shard.pending_writes.has_job_changes());
 }
 
-/// The first machine reports that the task's attempt there was stopped, and stays in reach.
-fn lists_its_attempt(shard: &mut Shard) {
-    let ended = task(TaskState::Exited, Some(ExitReason::Stopped));
+/// Merges a report of `host-1` that lists the task's attempt there as stopped. No later report of
+/// this machine is ever overdue.
+fn report_stopped_attempt(shard: &mut Shard) {
+    let ended = task_report(TaskState::Exited, Some(ExitReason::Stopped));
     shard.merge_report(10, &report(1, 2, 5, vec![ended]), ReportPath::Heartbeat);
-    let machine = shard.workers.machines.find("host-1").expect("known");
+    let machine = shard.workers.machines.find("host-1").expect("known machine");
     machine_of_mut(shard, machine).report_due = Millis::MAX;
 }
 
-/// Guards against a job that waits beside idle machines for as long as a term lasts
-/// (all machines sick for a while, seed 193: j-000021 from 93.7 s to 183.8 s). It had
-/// failed on three of the four machines that fit it. The fourth listed the earlier attempt of
-/// its next task, so each round chose that machine and did not use it; choosing it counted as
-/// having found room, and the time after which the other three are tried again began anew
-/// in every round. The trace, a line each 20 s, with the machines' state beside it:
+/// Guards against a job that waits until the end of the term although machines are idle (all
+/// machines unhealthy for a while, seed 193: job j-000021 waited from 93.7 s to 183.8 s).
 ///
-/// ```text
-/// [100026] waiting 2 failed_on [1, 2, 0] shortage_since 2058934 now 2058980
-/// [120040] waiting 2 failed_on [1, 2, 0] shortage_since 2078642 now 2079002
-/// [140000] waiting 2 failed_on [1, 2, 0] shortage_since 2098700 now 2098970
-/// host-000003 heard 311 ms ago, usable, open 0, 12 tasks listed that are not open
-/// ```
+/// The job had failed on three of the four machines that fit it. The fourth machine listed the
+/// earlier attempt of the job's next task, so every round chose this machine without using it.
+/// Choosing it counted as having found room and so reset `shortage_since` in every round, and the
+/// job never became free to return to the other three machines.
 #[test]
-fn a_machine_that_lists_an_earlier_attempt_is_no_room_found() {
+fn choosing_a_machine_that_lists_an_earlier_attempt_does_not_end_a_shortage() {
     let mut shard = shard_with(5, &[("small", 8.0)], 1, false);
     for name in ["host-1", "host-2"] {
-        let heard = Report {
+        let first_report = Report {
             machine: name.into(),
             ..report(1, 1, 5, Vec::new())
         };
-        shard.merge_report(0, &heard, ReportPath::CommandReply);
-        let machine = shard.workers.machines.find(name).expect("known");
-        let known = machine_of_mut(&mut shard, machine);
-        known.is_persisted = true;
-        known.report_due = Millis::MAX;
+        shard.merge_report(0, &first_report, ReportPath::CommandReply);
+        let machine = shard.workers.machines.find(name).expect("known machine");
+        let machine_state = machine_of_mut(&mut shard, machine);
+        machine_state.is_persisted = true;
+        machine_state.report_due = Millis::MAX;
     }
-    lists_its_attempt(&mut shard);
-    let avoided = shard.workers.machines.find("host-2").expect("known");
-    let job = shard.jobs.table.find("j-1").expect("known");
-    shard.jobs.table.get_mut(job).expect("there").failed_on = vec![avoided];
+    report_stopped_attempt(&mut shard);
+    let avoided_machine = shard.workers.machines.find("host-2").expect("known machine");
+    let job = shard.jobs.table.find("j-1").expect("known job");
+    shard.jobs.table.get_mut(job).expect("known job").failed_on = vec![avoided_machine];
     for now in (1_000..=12_000).step_by(500) {
         shard.place(now);
     }
-    assert_eq!(machine_of(&shard, avoided).open.len(), 1);
+    assert_eq!(machine_of(&shard, avoided_machine).open.len(), 1);
 }
 
-/// Guards against a job that waits for the only machine that fits it for as long as a term
-/// lasts: the machine lists an earlier attempt, and is not told to forget it while a start
-/// that went unanswered may still arrive there. Only a higher term ends that.
+/// Guards against a job that waits until the end of the term for the only machine that fits it. The
+/// machine lists an earlier attempt, and its worker must not forget that attempt while an
+/// unanswered start command may still arrive. Only a higher term ends this wait.
 #[test]
-fn a_job_that_waits_for_a_start_in_doubt_asks_for_a_higher_term() {
-    let (mut shard, machine) = shard();
+fn an_unconfirmed_start_that_blocks_a_job_requests_a_higher_term() {
+    let (mut shard, machine) = shard_with_worker();
     machine_of_mut(&mut shard, machine).unconfirmed_start_term = 5;
-    lists_its_attempt(&mut shard);
+    report_stopped_attempt(&mut shard);
     shard.place(20);
     shard.place(9_000);
-    assert!(!shard.workers.needs_higher_term, "not for a short wait");
+    assert!(!shard.workers.needs_higher_term, "the wait is still short");
     shard.place(11_000);
     assert!(std::mem::take(&mut shard.workers.needs_higher_term));
-    // Not once more while the worker has yet to see the new term.
+    // The term is not raised again while the worker has not seen the new one yet.
     shard.term = 6;
     shard.place(12_000);
     assert!(!shard.workers.needs_higher_term);
-    // Not where the worker has seen a later term, under which it is told to forget.
-    let (mut shard, machine) = self::shard();
+    // The term is not raised if the unconfirmed start is of an earlier term than the worker has
+    // seen: the worker may then forget the attempt.
+    let (mut shard, machine) = shard_with_worker();
     machine_of_mut(&mut shard, machine).unconfirmed_start_term = 4;
-    lists_its_attempt(&mut shard);
+    report_stopped_attempt(&mut shard);
     for now in [20, 11_000, 22_000] {
         shard.place(now);
     }
--- a/src/controller/shard/tests/commands.rs
+++ b/src/controller/shard/tests/commands.rs
@@ -1,33 +1,34 @@
-//! What machines are told.
+//! Commands sent to workers.
 
 use super::worker_fixture::*;
 use crate::wire::{Command, ExitReason, TaskReport, TaskState};
 use crate::workers::{MAX_LISTED_ENDED_TASKS, ReportPath};
 
 #[test]
-fn an_end_is_forgotten_only_once_it_is_written() {
-    let (mut shard, machine) = shard();
-    let over = vec![task(TaskState::Exited, Some(ExitReason::Error))];
-    shard.merge_report(10, &report(1, 2, 5, over.clone()), ReportPath::Heartbeat);
-    shard.merge_report(10, &report(1, 3, 5, over), ReportPath::Heartbeat);
+fn a_worker_may_forget_an_ended_task_only_once_its_end_is_written() {
+    let (mut shard, machine) = shard_with_worker();
+    let ended = vec![task_report(TaskState::Exited, Some(ExitReason::Error))];
+    shard.merge_report(10, &report(1, 2, 5, ended.clone()), ReportPath::Heartbeat);
+    shard.merge_report(10, &report(1, 3, 5, ended), ReportPath::Heartbeat);
     assert!(shard.commands(10, machine).is_empty());
-    let ix = shard.jobs.table.find("j-1").expect("known");
-    shard.jobs.table.get_mut(ix).expect("there").chunks[0].discard_changes();
+    let ix = shard.jobs.table.find("j-1").expect("known job");
+    shard.jobs.table.get_mut(ix).expect("known job").chunks[0].discard_changes();
     assert!(matches!(shard.commands(10, machine)[..], [Command::Forget { .. }]));
-    // Not while a start that went unanswered may still bring it back.
+    // The worker must not forget the task while an unanswered start command may still start it
+    // again.
     machine_of_mut(&mut shard, machine).unconfirmed_start_term = 5;
     assert!(shard.commands(10, machine).is_empty());
 }
 
-/// Guards against reports that grow for as long as a term lasts: while a start
-/// of it may still arrive, no ended task can be forgotten.
+/// Guards against reports that grow until the end of the term: a worker can't forget ended tasks
+/// while a start command of the term may still arrive.
 #[test]
-fn a_start_in_doubt_does_not_let_reports_grow_for_ever() {
-    let (mut shard, machine) = shard();
+fn an_unconfirmed_start_does_not_let_reports_grow_without_bound() {
+    let (mut shard, machine) = shard_with_worker();
     machine_of_mut(&mut shard, machine).unconfirmed_start_term = 5;
     let ended = |number: usize| TaskReport {
         task: format!("j-7/{number}"),
-        ..task(TaskState::Exited, Some(ExitReason::Done))
+        ..task_report(TaskState::Exited, Some(ExitReason::Done))
     };
     let few = (0..MAX_LISTED_ENDED_TASKS - 1).map(ended).collect();
     shard.merge_report(10, &report(1, 2, 5, few), ReportPath::Heartbeat);
@@ -43,19 +44,19 @@
     );
 }
 
-/// Guards against a stop that is dropped for good behind many other commands.
+/// Guards against a stop command that is never sent because too many other commands precede it.
 #[test]
-fn stops_go_before_all_other_commands() {
-    let (mut shard, machine) = shard();
+fn stop_commands_precede_all_others() {
+    let (mut shard, machine) = shard_with_worker();
     let mut tasks: Vec<TaskReport> = (0..500)
         .map(|number| TaskReport {
             task: format!("j-7/{number}"),
-            ..task(TaskState::Exited, Some(ExitReason::Done))
+            ..task_report(TaskState::Exited, Some(ExitReason::Done))
         })
         .collect();
     tasks.push(TaskReport {
         task: "j-8/0".into(),
-        ..task(TaskState::Running, None)
+        ..task_report(TaskState::Running, None)
     });
     shard.merge_report(10, &report(1, 2, 5, tasks), ReportPath::Heartbeat);
     let commands = shard.commands(20, machine);
--- a/src/controller/shard/tests/loading.rs
+++ b/src/controller/shard/tests/loading.rs
@@ -1,4 +1,4 @@
-//! What a new leader makes of the values that the former one wrote.
+//! Loading of the values that the former leader stored.
 
 use super::*;
 use crate::wire::Entry;
@@ -20,18 +20,18 @@
 }
 
 #[test]
-fn open_attempts_and_done_tasks_are_taken_over() {
+fn open_attempts_and_done_tasks_are_loaded() {
     let mut shard = shard_with_a_loaded_machine();
-    // The cloud confirmed that the second machine is gone.
+    // `host-2` is not in the inventory: the cloud has confirmed its deletion.
     let chunk = json!({"next": 9, "done": "0-1", "open": [[2, 7, "host-1", 3], [3, 8, "host-2", 1]]});
     shard.load_chunk(10, "j-1", 0, &entry("kept/pool/firing/j-1/0", chunk));
-    let job = shard.jobs.find("j-1").expect("known");
+    let job = shard.jobs.find("j-1").expect("known job");
     assert_eq!((job.chunks[0].version, job.chunks[0].next_attempt), (8, 9));
     assert_eq!((job.done.len(), job.open.len()), (2, 1));
-    let (_, attempt) = shard.workers.attempts.iter().next().expect("open");
+    let (_, attempt) = shard.workers.attempts.iter().next().expect("an open attempt");
     assert_eq!((attempt.task, attempt.number, attempt.agent_epoch), (2, 7, 3));
     assert!(attempt.record.is_written() && attempt.stop_grace_s.is_none());
-    let machine = shard.workers.machines.get(attempt.machine).expect("there");
+    let machine = shard.workers.machines.get(attempt.machine).expect("known machine");
     assert_eq!(
         (machine.name.as_str(), machine.agent_epoch, machine.open.len()),
         ("host-1", 3, 1)
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_can_not_be_read_or_belongs_to_no_job_changes_nothing() {
+fn unreadable_values_and_chunks_of_unknown_jobs_change_nothing() {
     let mut shard = shard_with_a_loaded_machine();
     let unreadable = json!({"next": 9, "open": [[2, 7, "host-1", 3]]});
     shard.load_chunk(10, "j-1", 0, &entry("kept/pool/firing/j-1/0", unreadable));
@@ -54,7 +54,7 @@
         &entry("kept/pool/roster/4-1", json!({"machines": [["host-3"]]})),
     );
     assert!(shard.workers.attempts.iter().next().is_none());
-    assert_eq!(shard.jobs.find("j-1").expect("known").chunks[0].version, 0);
+    assert_eq!(shard.jobs.find("j-1").expect("known job").chunks[0].version, 0);
     assert!(shard.fleet.machine_requests().is_empty());
     assert_eq!(shard.workers.machines.len(), 1);
 }
--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -1,3 +1,5 @@
+//! Health checks, the forecast and machine purchases through the shard's operations.
+
 use super::*;
 use crate::fleet::demand::CapacityNeed;
 use crate::fleet::offers::{OfferSearch, PurchaseScope};
@@ -12,10 +14,10 @@
 
 fn is_boot_overdue(shard: &mut Shard, now: Millis, ix: MachineIx) -> bool {
     let (fleet, context) = shard.fleet_and_context(now);
-    fleet.is_boot_overdue(&context, context.workers.machines.get(ix).expect("there"))
+    fleet.is_boot_overdue(&context, context.workers.machines.get(ix).expect("known machine"))
 }
 
-/// How many machines the forecast is packed into.
+/// Returns the number of known and requested machines that forecast tasks may be packed onto.
 fn planned_machines(shard: &mut Shard, now: Millis) -> usize {
     let (fleet, context) = shard.fleet_and_context(now);
     fleet.planned_machines(&context).len()
@@ -26,34 +28,34 @@
     fleet.overdue_offers(&context)
 }
 
-/// Guards against deleting a zone that is cut off for a minute: all its
-/// machines were replaced seconds before they were heard again.
+/// Guards against deleting the machines of a zone that is disconnected for a minute: all of them
+/// were replaced seconds before they reported again.
 #[test]
-fn a_zone_that_falls_silent_is_waited_for_and_a_machine_alone_is_not() {
+fn an_unresponsive_zone_is_kept_longer_than_a_single_unresponsive_machine() {
     let mut shard = shard_with(1, &[("small", 8.0)], 1, true);
     for index in 0..8 {
         let zone = if index < 4 { "north" } else { "south" };
         let ix = shard.add_machine(0, &format!("host-{index}"), "small", zone, true);
-        let machine = shard.workers.machines.get_mut(ix).expect("there");
-        // One of the south and all of the north fall silent, the north's one
-        // after the other: its last reports were not sent together.
+        let machine = shard.workers.machines.get_mut(ix).expect("known machine");
+        // One machine of `south` and all of `north` stop reporting. Those of `north` become
+        // unresponsive one after the other, since their last reports were not sent together.
         machine.heard_at = Some(match index {
             0..=3 => index * 1_000,
             4 => 0,
             _ => 60_000,
         });
     }
-    let given_up = |shard: &Shard| -> Vec<String> {
+    let decommissioned_names = |shard: &Shard| -> Vec<String> {
         let machines = shard.workers.machines.iter().map(|(_, machine)| machine);
         let decommissioned = machines.filter(|machine| machine.decommissioned);
         decommissioned.map(|machine| machine.name.clone()).collect()
     };
-    let silent_ms = crate::millis(shard.policy.silent_reports * shard.workers.report_s * 1.25);
-    shard.decommission_failed(silent_ms + 1);
-    assert_eq!(given_up(&shard), ["host-4"]);
-    shard.decommission_failed(silent_ms + 3_001);
-    assert_eq!(given_up(&shard), ["host-4"]);
-    let north = shard.topology.zones.get("north").expect("known");
+    let unresponsive_after_ms = crate::millis(shard.policy.silent_reports * shard.workers.report_s * 1.25);
+    shard.decommission_failed(unresponsive_after_ms + 1);
+    assert_eq!(decommissioned_names(&shard), ["host-4"]);
+    shard.decommission_failed(unresponsive_after_ms + 3_001);
+    assert_eq!(decommissioned_names(&shard), ["host-4"]);
+    let north = shard.topology.zones.get("north").expect("known zone");
     assert!(shard.fleet.unresponsive_zones.contains(&north));
     assert!(
         shard
@@ -62,44 +64,44 @@
             .iter()
             .all(|(_, machine)| machine.marked_unresponsive == (machine.zone == north || machine.decommissioned))
     );
-    // Until new ones would be there; the type boots for 5 s.
-    let patience = silent_ms + 7_500;
-    shard.decommission_failed(patience.max(shard.workers.lease_expiry_ms) + 3_001);
-    assert_eq!(given_up(&shard).len(), 5);
+    // The zone is kept until replacements would be up. Machines of this type boot in 5 s.
+    let zone_timeout_ms = unresponsive_after_ms + 7_500;
+    shard.decommission_failed(zone_timeout_ms.max(shard.workers.lease_expiry_ms) + 3_001);
+    assert_eq!(decommissioned_names(&shard).len(), 5);
 }
 
-/// Guards against on-demand machines that come when the work is done: 359 small
-/// ones stood idle for a minute at the start of the fleet's days.
+/// Guards against renting on-demand machines that come up when the work is already done: 359 small
+/// ones were idle for a minute at the start of each fleet deployment.
 #[test]
-fn tasks_whose_aim_is_longer_than_a_boot_follow_on_machines_that_others_leave() {
+fn tasks_with_enough_time_left_run_in_turn_on_fewer_machines() {
     let mut shard = shard_with(1, &[("small", 8.0)], 20, true);
-    let job = shard.jobs.table.find("j-1").expect("known");
-    let mut firm = |start_by_ms, wall| {
-        let known = shard.jobs.table.get_mut(job).expect("there");
-        // Its class has an aim.
-        known.best_effort = false;
-        known.start_by_ms = start_by_ms;
-        shard.wall_clock = wall;
-        forecast(&mut shard, wall)[0].on_demand_count
+    let job = shard.jobs.table.find("j-1").expect("known job");
+    let mut on_demand_count = |start_by_ms, wall_clock| {
+        let job_state = shard.jobs.table.get_mut(job).expect("known job");
+        // The job's class has an objective.
+        job_state.best_effort = false;
+        job_state.start_by_ms = start_by_ms;
+        shard.wall_clock = wall_clock;
+        forecast(&mut shard, wall_clock)[0].on_demand_count
     };
-    // They run for 5 s and have 20 left: five rounds.
-    assert_eq!(firm(60_000, 40_000), 4);
-    // The aim is shorter than the boot of 5 s.
-    assert_eq!(firm(4_000, 1_000), 14);
+    // The tasks run for 5 s each and have 20 s left, which is enough for five rounds.
+    assert_eq!(on_demand_count(60_000, 40_000), 4);
+    // The objective is shorter than the boot time of 5 s.
+    assert_eq!(on_demand_count(4_000, 1_000), 14);
 }
 
-/// Guards against giving up all machines after an outage of the state
-/// service that was longer than their leases: nobody could hear them.
+/// Guards against decommissioning all machines after an outage of the state service that was longer
+/// than their leases, during which no leader could receive their reports.
 #[test]
-fn silence_counts_from_when_the_leader_hears_again() {
+fn machines_count_as_unresponsive_only_after_the_leader_receives_reports_again() {
     let mut shard = shard_with(1, &[("small", 8.0)], 1, true);
     for (name, heard_at) in [("host-1", Some(0)), ("host-2", Some(0)), ("host-3", None)] {
         let ix = shard.add_machine(0, name, "small", "north", true);
-        shard.workers.machines.get_mut(ix).expect("there").heard_at = heard_at;
+        shard.workers.machines.get_mut(ix).expect("known machine").heard_at = heard_at;
     }
-    let silent_ms = crate::millis(shard.policy.silent_reports * shard.workers.report_s * 1.25);
+    let unresponsive_after_ms = crate::millis(shard.policy.silent_reports * shard.workers.report_s * 1.25);
     shard.workers.receiving_reports_since = 300_000;
-    shard.decommission_failed(300_000 + silent_ms);
+    shard.decommission_failed(300_000 + unresponsive_after_ms);
     assert!(
         shard
             .workers
@@ -107,92 +109,97 @@
             .iter()
             .all(|(_, machine)| !machine.decommissioned && !machine.marked_unresponsive)
     );
-    shard.decommission_failed(300_000 + 4 * silent_ms);
+    shard.decommission_failed(300_000 + 4 * unresponsive_after_ms);
     assert!(shard.workers.machines.iter().all(|(_, machine)| machine.decommissioned));
 }
 
-/// Guards against on-demand machines for work that runs in what the others leave.
+/// Guards against renting on-demand machines for best-effort jobs, which use the capacity that other
+/// jobs leave.
 #[test]
-fn best_effort_work_buys_no_on_demand_machines_unless_only_they_will_do() {
+fn best_effort_jobs_rent_on_demand_machines_only_if_they_must_not_use_spot_machines() {
     for spot in [true, false] {
         let mut shard = shard_with(1, &[("small", 8.0)], 20, spot);
-        let job = shard.jobs.table.find("j-1").expect("known");
-        let known = shard.jobs.table.get_mut(job).expect("there");
-        assert!(known.best_effort, "its class has no aim");
-        known.spec.estimate_s = 500.0;
+        let job = shard.jobs.table.find("j-1").expect("known job");
+        let job_state = shard.jobs.table.get_mut(job).expect("known job");
+        assert!(job_state.best_effort, "its class has no objective");
+        job_state.spec.estimate_s = 500.0;
         let needs = forecast(&mut shard, 0);
         assert_eq!(needs[0].on_demand_count > 0, !spot);
         assert!(needs[0].best_effort);
     }
 }
 
-fn unheard_machines(shard: &mut Shard, zone: &str, count: usize) {
+/// Adds machines of a zone that have not reported yet.
+fn add_booting_machines(shard: &mut Shard, zone: &str, count: usize) {
     for index in 0..count {
         let name = format!("host-{zone}-{index}");
         shard.add_machine(0, &name, "small", zone, true);
     }
 }
 
-/// Guards against waiting for machines that never come: they counted as room to come
-/// for three boot times, and work waited for them all that time.
+/// Guards against waiting for machines that never come up: they counted as future capacity for three
+/// boot times, and tasks waited for them all that time.
 #[test]
-fn a_late_machine_is_replaced_and_one_that_never_comes_is_given_up_once() {
+fn an_overdue_machine_is_replaced_and_is_decommissioned_if_it_never_reports() {
     let mut shard = shard_with(1, &[("small", 8.0)], 20, true);
-    unheard_machines(&mut shard, "north", 1);
-    let ix = shard.workers.machines.find("host-north-0").expect("known");
-    // The type boots for 5 s and workers report every 3 s.
+    add_booting_machines(&mut shard, "north", 1);
+    let ix = shard.workers.machines.find("host-north-0").expect("known machine");
+    // Machines of this type boot in 5 s, and workers report every 3 s.
     assert!(!is_boot_overdue(&mut shard, 12_000, ix));
     assert!(is_boot_overdue(&mut shard, 13_000, ix));
     assert_eq!(planned_machines(&mut shard, 12_000), 1);
     assert_eq!(
         planned_machines(&mut shard, 13_000),
         0,
-        "others are asked for in its place"
+        "others are requested in its place"
     );
     shard.decommission_failed(13_000);
     assert!(
-        !shard.workers.machines.get(ix).expect("there").decommissioned,
-        "it may come yet"
+        !shard.workers.machines.get(ix).expect("known machine").decommissioned,
+        "it may still come up"
     );
-    // If it comes after all it counts like any other.
-    shard.workers.machines.get_mut(ix).expect("there").heard_at = Some(14_000);
+    // If the machine comes up after all, it counts like any other.
+    shard.workers.machines.get_mut(ix).expect("known machine").heard_at = Some(14_000);
     assert_eq!(planned_machines(&mut shard, 14_000), 1);
-    shard.workers.machines.get_mut(ix).expect("there").heard_at = None;
+    shard.workers.machines.get_mut(ix).expect("known machine").heard_at = None;
     let unresponsive_after_ms = shard.fleet_and_context(0).1.unresponsive_after_ms();
-    let patience = shard.workers.lease_expiry_ms.max(25_000) + unresponsive_after_ms;
-    shard.decommission_failed(patience + 1);
-    assert!(shard.workers.machines.get(ix).expect("there").decommissioned);
+    let boot_timeout_ms = shard.workers.lease_expiry_ms.max(25_000) + unresponsive_after_ms;
+    shard.decommission_failed(boot_timeout_ms + 1);
+    assert!(shard.workers.machines.get(ix).expect("known machine").decommissioned);
 }
 
 #[test]
-fn a_machine_of_a_silent_zone_or_of_a_new_leader_is_not_taken_for_a_failed_boot() {
+fn no_boot_is_overdue_in_an_unresponsive_zone_or_under_a_new_leader() {
     let mut shard = shard_with(1, &[("small", 8.0)], 20, true);
-    unheard_machines(&mut shard, "north", 1);
-    let ix = shard.workers.machines.find("host-north-0").expect("known");
-    let late = |shard: &mut Shard| is_boot_overdue(shard, 40_000, ix);
-    assert!(late(&mut shard));
+    add_booting_machines(&mut shard, "north", 1);
+    let ix = shard.workers.machines.find("host-north-0").expect("known machine");
+    let is_overdue = |shard: &mut Shard| is_boot_overdue(shard, 40_000, ix);
+    assert!(is_overdue(&mut shard));
     shard.workers.receiving_reports_since = 35_000;
-    assert!(!late(&mut shard), "this leader has not heard for long enough to tell");
+    assert!(
+        !is_overdue(&mut shard),
+        "this leader has only just begun to receive reports"
+    );
     shard.workers.receiving_reports_since = 0;
     shard
         .fleet
         .unresponsive_zones
-        .insert(shard.topology.zones.get("north").expect("known"));
-    assert!(!late(&mut shard), "it may be up and cut off");
+        .insert(shard.topology.zones.get("north").expect("known zone"));
+    assert!(!is_overdue(&mut shard), "it may be up but disconnected");
 }
 
-/// Guards against asking for more where machines don't come up.
+/// Guards against requesting more machines of an offer whose machines don't come up.
 #[test]
-fn machines_are_asked_for_elsewhere_while_most_of_an_offer_are_late() {
+fn machines_are_requested_elsewhere_while_most_of_an_offer_are_overdue() {
     let mut shard = shard_with(1, &[("small", 8.0)], 20, true);
-    unheard_machines(&mut shard, "north", 3);
+    add_booting_machines(&mut shard, "north", 3);
     let offer = shard
         .workers
         .machines
         .iter()
         .map(|(_, machine)| machine.offer())
         .next()
-        .expect("one");
+        .expect("a machine");
     assert!(overdue_offers(&mut shard, 12_000).is_empty());
     assert!(overdue_offers(&mut shard, 13_000).contains(&offer));
     for index in 0..3 {
@@ -200,7 +207,7 @@
     }
     assert!(
         overdue_offers(&mut shard, 13_000).is_empty(),
-        "half of them are not late"
+        "half of them are not overdue"
     );
     let needs = forecast(&mut shard, 13_000);
     let (fleet, context) = shard.fleet_and_context(13_000);
@@ -209,7 +216,7 @@
         search.set_overdue_offers(overdue);
         search.best(&needs[0], 1, PurchaseScope::SpotOrOnDemand)
     };
-    let usual = best(BTreeSet::new()).expect("one").offer;
-    let other = best(BTreeSet::from([usual])).expect("another").offer;
-    assert_ne!(usual, other);
+    let best_offer = best(BTreeSet::new()).expect("an offer").offer;
+    let alternative = best(BTreeSet::from([best_offer])).expect("another offer").offer;
+    assert_ne!(best_offer, alternative);
 }
--- a/src/controller/shard/tests/transactions.rs
+++ b/src/controller/shard/tests/transactions.rs
@@ -1,5 +1,4 @@
-//! The transactions of a whole shard: what goes into them, and what follows from their
-//! outcome.
+//! Transactions of the shard: their content, and the effects of their results.
 
 use super::*;
 use crate::fleet::{DueGroups, MachineRequestRecord};
@@ -16,11 +15,12 @@
     Keys::new("pool")
 }
 
-/// A shard with one machine, which is written, and a job whose tasks are all placed.
+/// Returns a shard with one machine, whose inventory group is written, and a job whose tasks are all
+/// placed.
 fn shard_with_open_tasks(tasks: u32) -> Shard {
     let mut shard = shard_with(5, &[("large", 64.0)], tasks, true);
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
-    let machine = shard.workers.machines.get_mut(machine).expect("there");
+    let machine = shard.workers.machines.get_mut(machine).expect("known machine");
     machine.is_persisted = true;
     machine.heard_at = Some(0);
     machine.report_due = Millis::MAX;
@@ -28,15 +28,15 @@
         shard.fleet.inventory.write_started(group);
     }
     shard.place(0);
-    assert_eq!(open(&shard).len(), tasks as usize);
+    assert_eq!(open_attempts(&shard).len(), tasks as usize);
     shard
 }
 
-fn open(shard: &Shard) -> Vec<AttemptIx> {
+fn open_attempts(shard: &Shard) -> Vec<AttemptIx> {
     shard.workers.attempts.iter().map(|(ix, _)| ix).collect()
 }
 
-fn next(shard: &mut Shard, max_changes: usize) -> Option<Arc<Transaction>> {
+fn next_transaction(shard: &mut Shard, max_changes: usize) -> Option<Arc<Transaction>> {
     let claim = Condition {
         key: keys().leader(),
         version: 1,
@@ -66,9 +66,9 @@
 fn attempts_may_start_once_their_chunk_is_written() {
     let mut shard = shard_with_open_tasks(2);
     assert!(shard.has_urgent_writes());
-    let transaction = next(&mut shard, MAX_CHANGES).expect("due");
+    let transaction = next_transaction(&mut shard, MAX_CHANGES).expect("a transaction");
     assert_eq!(put_keys(&transaction), [keys().task_chunk("j-1", 0)]);
-    assert!(next(&mut shard, MAX_CHANGES).is_none(), "one is in flight");
+    assert!(next_transaction(&mut shard, MAX_CHANGES).is_none(), "one is in flight");
     assert!(
         shard
             .workers
@@ -90,22 +90,23 @@
 }
 
 #[test]
-fn what_was_not_applied_is_written_again() {
+fn changes_that_were_not_applied_are_written_again() {
     let mut shard = shard_with_open_tasks(2);
-    let first = next(&mut shard, MAX_CHANGES).expect("due");
+    let first = next_transaction(&mut shard, MAX_CHANGES).expect("a transaction");
     shard.not_applied();
     assert!(shard.has_urgent_writes());
-    let second = next(&mut shard, MAX_CHANGES).expect("due again");
+    let second = next_transaction(&mut shard, MAX_CHANGES).expect("another transaction");
     assert_eq!(first, second);
 }
 
-/// A job of three chunks, all of whose tasks are done and written.
+/// Returns a shard with a finished job whose end is not written yet. Chunks 1 to 3 of the job are
+/// stored in the state service.
 fn finished_shard() -> Shard {
     let mut shard = shard_with_open_tasks(1);
-    let job = shard.jobs.table.find("j-1").expect("known");
-    let attempt = open(&shard)[0];
+    let job = shard.jobs.table.find("j-1").expect("known job");
+    let attempt = open_attempts(&shard)[0];
     shard.close_attempt(0, attempt, Outcome::Done);
-    let job = shard.jobs.table.get_mut(job).expect("there");
+    let job = shard.jobs.table.get_mut(job).expect("known job");
     let mut chunk = job.chunks[0].clone();
     for version in [3, 4, 5] {
         chunk.version = version;
@@ -115,39 +116,39 @@
 }
 
 #[test]
-fn a_finished_job_is_written_then_cleaned_up_and_forgotten() {
+fn the_end_of_a_job_is_written_before_the_job_is_cleaned_up_and_removed() {
     let mut shard = finished_shard();
-    let end = next(&mut shard, MAX_CHANGES).expect("due");
+    let end = next_transaction(&mut shard, MAX_CHANGES).expect("a transaction");
     assert_eq!(put_keys(&end), [keys().end("j-1"), keys().job("j-1")]);
     assert!(deleted_keys(&end).is_empty());
     shard.committed(10_000, 9);
     let job = shard.jobs.table.find("j-1").expect("not cleaned up yet");
-    let job = shard.jobs.table.get(job).expect("there");
+    let job = shard.jobs.table.get(job).expect("known job");
     assert_eq!((job.ended, job.key_version), (Some(JobState::Done), 9));
-    let clean_up = next(&mut shard, MAX_CHANGES).expect("due");
+    let clean_up = next_transaction(&mut shard, MAX_CHANGES).expect("a transaction");
     let chunks = [1, 2, 3].map(|number| keys().task_chunk("j-1", number));
     assert_eq!(deleted_keys(&clean_up)[..3], chunks);
     assert_eq!(deleted_keys(&clean_up)[3..], [keys().job("j-1")]);
     shard.committed(10_000, 10);
     assert!(shard.jobs.table.is_empty());
-    assert!(next(&mut shard, MAX_CHANGES).is_none());
+    assert!(next_transaction(&mut shard, MAX_CHANGES).is_none());
 }
 
-/// Half of the changes that a transaction may have go to clean-ups.
+/// Clean-ups get up to half of the changes that a transaction may have.
 #[test]
-fn a_clean_up_goes_on_where_the_last_transaction_left_it() {
+fn a_clean_up_continues_where_the_last_transaction_stopped() {
     let mut shard = finished_shard();
-    next(&mut shard, MAX_CHANGES).expect("due");
+    next_transaction(&mut shard, MAX_CHANGES).expect("a transaction");
     shard.committed(10_000, 9);
-    let first = next(&mut shard, 4).expect("due");
+    let first = next_transaction(&mut shard, 4).expect("a transaction");
     assert_eq!(
         deleted_keys(&first),
         [1, 2].map(|number| keys().task_chunk("j-1", number))
     );
     shard.not_applied();
-    assert_eq!(next(&mut shard, 4).expect("due again"), first);
+    assert_eq!(next_transaction(&mut shard, 4).expect("another transaction"), first);
     shard.committed(10_000, 10);
-    let second = next(&mut shard, 4).expect("due");
+    let second = next_transaction(&mut shard, 4).expect("a transaction");
     assert_eq!(deleted_keys(&second), [keys().task_chunk("j-1", 3), keys().job("j-1")]);
     shard.committed(10_000, 11);
     assert!(shard.jobs.table.is_empty());
@@ -165,7 +166,7 @@
     };
     shard.pending_writes.queue_machine_request(record.clone());
     assert!(shard.has_urgent_writes());
-    let transaction = next(&mut shard, MAX_CHANGES).expect("due");
+    let transaction = next_transaction(&mut shard, MAX_CHANGES).expect("a transaction");
     assert_eq!(put_keys(&transaction), [keys().machine_request("pool-5-0")]);
     assert!(shard.fleet.machine_requests().is_empty());
     shard.committed(10_000, 7);
@@ -175,21 +176,24 @@
 }
 
 #[test]
-fn an_answered_request_goes_after_its_machines_are_written() {
+fn an_answered_request_is_not_removed_before_its_machines_are_written() {
     let mut shard = shard_with(5, &[("small", 8.0)], 1, true);
     let machine = shard.add_machine(0, "host-1", "small", "north", true);
     shard.pending_writes.queue_answered_request(AnsweredRequest {
         request: "pool-5-0".into(),
         version: 6,
     });
-    // No space for the group of the machine.
-    assert!(next(&mut shard, 0).is_none());
-    let both = next(&mut shard, MAX_CHANGES).expect("due");
+    // The transaction has no room for the inventory group of the machine.
+    assert!(next_transaction(&mut shard, 0).is_none());
+    let both = next_transaction(&mut shard, MAX_CHANGES).expect("a transaction");
     assert_eq!(put_keys(&both), [keys().machine_group("5-0")]);
     assert_eq!(deleted_keys(&both), [keys().machine_request("pool-5-0")]);
     shard.not_applied();
-    assert_eq!(next(&mut shard, MAX_CHANGES).expect("due again"), both);
+    assert_eq!(
+        next_transaction(&mut shard, MAX_CHANGES).expect("another transaction"),
+        both
+    );
     shard.committed(10_000, 7);
-    assert!(shard.workers.machines.get(machine).expect("there").is_persisted);
-    assert!(next(&mut shard, MAX_CHANGES).is_none());
+    assert!(shard.workers.machines.get(machine).expect("known machine").is_persisted);
+    assert!(next_transaction(&mut shard, MAX_CHANGES).is_none());
 }
--- a/src/controller/shard/tests/worker_fixture.rs
+++ b/src/controller/shard/tests/worker_fixture.rs
@@ -1,4 +1,4 @@
-//! A shard with one machine whose worker reports, for the tests of what reports do.
+//! A shard with one machine whose worker reports, for tests of the effects of reports.
 
 use crate::Millis;
 use crate::controller::{Shard, shard_with};
@@ -6,28 +6,29 @@
 use crate::wire::{ExitReason, Report, TaskReport, TaskState};
 use crate::workers::{Machine, RecordState, ReportPath};
 
-/// A shard of term 5 with one machine heard in agent epoch 1 and one job of a
-/// single task placed and written there.
-pub fn shard() -> (Shard, MachineIx) {
-    shard_of(1)
+/// Returns a shard of term 5 with a machine whose worker has reported in agent epoch 1, and the
+/// machine. A job of a single task has an open attempt there, whose record is written.
+pub fn shard_with_worker() -> (Shard, MachineIx) {
+    shard_with_worker_and_tasks(1)
 }
 
-/// The same with a job of so many tasks.
-pub fn shard_of(tasks: u32) -> (Shard, MachineIx) {
+/// Like [`shard_with_worker`], with a job of `tasks` tasks. As many of them are placed as fit, and
+/// the record of the first one is written.
+pub fn shard_with_worker_and_tasks(tasks: u32) -> (Shard, MachineIx) {
     let mut shard = shard_with(5, &[("small", 8.0)], tasks, false);
     shard.merge_report(0, &report(1, 1, 5, Vec::new()), ReportPath::CommandReply);
-    let machine = shard.workers.machines.find("host-1").expect("known");
-    let known = machine_of_mut(&mut shard, machine);
-    known.is_persisted = true;
-    // The tests jump ahead in time.
-    known.report_due = Millis::MAX;
+    let machine = shard.workers.machines.find("host-1").expect("known machine");
+    let machine_state = machine_of_mut(&mut shard, machine);
+    machine_state.is_persisted = true;
+    // The tests skip ahead in time without further reports.
+    machine_state.report_due = Millis::MAX;
     shard.place(0);
     let attempt = machine_of(&shard, machine).open[0];
-    shard.workers.attempts.get_mut(attempt).expect("open").record = RecordState::Written;
+    shard.workers.attempts.get_mut(attempt).expect("open attempt").record = RecordState::Written;
     (shard, machine)
 }
 
-/// A report of the machine's worker.
+/// Returns a report of the worker on `host-1`.
 pub fn report(agent_epoch: u64, seq: u64, fencing_token: u64, tasks: Vec<TaskReport>) -> Report {
     Report {
         machine: "host-1".into(),
@@ -43,8 +44,8 @@
     }
 }
 
-/// The first attempt at the job's first task, as a report lists it.
-pub fn task(state: TaskState, exit_reason: Option<ExitReason>) -> TaskReport {
+/// Returns the entry of a report for the first attempt of the job's first task.
+pub fn task_report(state: TaskState, exit_reason: Option<ExitReason>) -> TaskReport {
     TaskReport {
         task: "j-1/0".into(),
         attempt: 1,
@@ -53,8 +54,8 @@
     }
 }
 
-/// How many attempts are open.
-pub fn open(shard: &Shard) -> usize {
+/// Returns the number of open attempts.
+pub fn open_attempt_count(shard: &Shard) -> usize {
     shard.workers.attempts.iter().count()
 }
 
@@ -63,12 +64,12 @@
     machine_of(shard, machine).usable(now)
 }
 
-/// What is known of a machine.
+/// Returns the state of a machine.
 pub fn machine_of(shard: &Shard, machine: MachineIx) -> &Machine {
-    shard.workers.machines.get(machine).expect("there")
+    shard.workers.machines.get(machine).expect("known machine")
 }
 
-/// What is known of a machine, to be changed.
+/// Returns the state of a machine, to be changed.
 pub fn machine_of_mut(shard: &mut Shard, machine: MachineIx) -> &mut Machine {
-    shard.workers.machines.get_mut(machine).expect("there")
+    shard.workers.machines.get_mut(machine).expect("known machine")
 }
