--- a/tests/rules/fleet_at_size.rs
+++ b/tests/rules/fleet_at_size.rs
@@ -2,7 +2,7 @@
 //! of the state service, and outages cost no machines.
 
 use crate::LEADER;
-use crate::world::{Fault, Told, World};
+use crate::world::{Fault, KnownState, World};
 
 /// Jobs of large tasks for both teams, one after the other.
 fn submit_large(world: &mut World, jobs: u64, tasks: u32, every_ms: u64) {
@@ -20,7 +20,7 @@
 /// controllers grow with time, not with reports.
 #[test]
 fn two_thousand_machines_cost_no_more_than_there_is_to_do() {
-    let mut world = World::at_size(8, 5, Vec::new());
+    let mut world = World::with_large_capacity(8, 5, Vec::new());
     submit_large(&mut world, 20, 300, 100);
     world.run(60_000);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
@@ -31,7 +31,7 @@
     assert!(sent.store_writes < 80 * seconds, "{sent:?}");
     assert!(sent.store_requests < 200 * seconds, "{sent:?}");
     // Two thousand machines are written well below one key each.
-    assert!(world.stored("kept/pool/roster/") * 16 < machines);
+    assert!(world.count_stored_keys("kept/pool/roster/") * 16 < machines);
     assert!(sent.report_answers > 5 * machines, "{sent:?}");
     assert!(sent.leader_answers * 5 < sent.report_answers, "{sent:?}");
     // Twenty ticks a second, each peer with the leader, both ways, and heartbeats.
@@ -44,7 +44,7 @@
     );
     world.run(150_000);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
-    assert!(world.jobs.iter().all(|job| job.told == Told::Done));
+    assert!(world.jobs.iter().all(|job| job.known_state == KnownState::Done));
 }
 
 /// A fleet of one to two thousand machines: the state service is out, all
@@ -65,14 +65,18 @@
         ),
     ];
     faults.extend(crash(48_000).chain(crash(54_500)));
-    let mut world = World::at_size(11, 5, faults);
+    let mut world = World::with_large_capacity(11, 5, faults);
     submit_large(&mut world, 26, 300, 3_000);
     world.run(35_000);
     let machines = world.machines();
     assert!(machines > 1_000, "{machines} machines");
     world.run(330_000);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
-    let open = world.jobs.iter().filter(|job| job.told != Told::Done).count();
+    let open = world
+        .jobs
+        .iter()
+        .filter(|job| job.known_state != KnownState::Done)
+        .count();
     assert_eq!(open, 0);
     // The service's limits hold in every phase, all controllers together.
     assert!(world.sent.store_writes < 80 * 330, "{:?}", world.sent);
@@ -89,15 +93,19 @@
         (66_000, Fault::Crash { node: LEADER }),
         (100_000, Fault::Crash { node: LEADER }),
     ];
-    let mut world = World::of_size(14, 5, 2_200, faults);
-    world.run_times = 20;
+    let mut world = World::with_machine_capacity(14, 5, 2_200, faults);
+    world.run_time_factor = 20;
     submit_large(&mut world, 18, 320, 200);
     world.run(59_000);
     let machines = world.machines();
     assert!(machines > 4_200, "{machines} machines");
     world.run(400_000);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
-    let open = world.jobs.iter().filter(|job| job.told != Told::Done).count();
+    let open = world
+        .jobs
+        .iter()
+        .filter(|job| job.known_state != KnownState::Done)
+        .count();
     assert_eq!(open, 0);
     assert_eq!(world.lost_tasks, 0, "no lease ran out");
     // The service's limits, all controllers together.
@@ -109,7 +117,7 @@
 /// ends that was longer than the workers' leases: no controller could hear them.
 #[test]
 fn an_outage_longer_than_the_leases_costs_no_machines() {
-    let mut world = World::at_size(12, 3, vec![(40_000, Fault::StoreOutage { ms: 60_000 })]);
+    let mut world = World::with_large_capacity(12, 3, vec![(40_000, Fault::StoreOutage { ms: 60_000 })]);
     submit_large(&mut world, 8, 3_000, 100);
     world.run(39_000);
     let before = world.machine_names();
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -12,7 +12,7 @@
 
 use rand::Rng;
 use rand::rngs::StdRng;
-use world::{Fault, Told, World};
+use world::{Fault, KnownState, World};
 
 /// Whoever leads the shard when the fault begins.
 const LEADER: usize = 9;
@@ -27,17 +27,17 @@
 
 /// To the end of all faults and well beyond: no rule broken, no job left over.
 fn run_to_completion(mut world: World, seed: u64, faults: &[(u64, Fault)]) -> World {
-    world.run(world.faults_end_at.max(100_000) + 200_000 * world.run_times.min(3));
+    world.run(world.faults_end_at.max(100_000) + 200_000 * world.run_time_factor.min(3));
     // A broken rule ends the run: what had not begun by then would be called late.
     assert_no_violations(&world, seed, faults);
-    world.check_largest();
+    world.check_largest_jobs();
     assert_no_violations(&world, seed, faults);
     let open: Vec<_> = world
         .jobs
         .iter()
-        .filter(|job| !matches!(job.told, Told::Done | Told::Cancelled))
+        .filter(|job| !matches!(job.known_state, KnownState::Done | KnownState::Cancelled))
         .collect();
-    let open: Vec<_> = open.iter().map(|job| (&job.spec.id, job.told)).collect();
+    let open: Vec<_> = open.iter().map(|job| (&job.spec.id, job.known_state)).collect();
     assert!(open.is_empty(), "seed {seed}: never finished {open:?}\n{faults:#?}");
     assert!(world.starts > 0);
     world
@@ -70,7 +70,7 @@
         9 => Fault::DelayedDuplicateReports { ms },
         10 => Fault::CutFromAllButWorkers { node, ms },
         11 | 12 => Fault::QuickRestart { node },
-        13 => Fault::PeersRefuse { ms },
+        13 => Fault::PeerMessagesDropped { ms },
         14 => Fault::StoreSlow { ms },
         15 | 16 => Fault::Freeze { node, ms },
         17 => Fault::ZoneCut { ms: ms * 2 },
