--- a/src/controller/shard/tests/attempts.rs
+++ b/src/controller/shard/tests/attempts.rs
@@ -29,8 +29,8 @@
 }
 
 /// Guards against a job that waits forever although a machine is idle. Another machine, which had
-/// the job's image cached but listed an earlier attempt, was tried first in every round (jobs
-/// restricted to one zone, seed 199).
+/// the job's image cached but listed an earlier attempt, was tried first in every round
+/// (`meetings` with jobs restricted to one zone, seed 199).
 #[test]
 fn a_machine_that_lists_an_earlier_attempt_does_not_block_the_others() {
     let mut shard = shard_with(5, &[("small", 8.0), ("small", 8.0)], 1, false);
@@ -102,8 +102,9 @@
     machine_of_mut(shard, machine).report_due = Millis::MAX;
 }
 
-/// Guards against a job that waits until the end of the term although machines are idle (all
-/// machines unhealthy for a while, seed 193: job j-000021 waited from 93.7 s to 183.8 s).
+/// Guards against a job that waits until the end of the term although machines are idle
+/// (`meetings` with all machines unhealthy for a while, seed 193: job j-000021 waited from 93.7 s
+/// to 183.8 s).
 ///
 /// The job had failed on three of the four machines that fit it. The fourth machine listed the
 /// earlier attempt of the job's next task, so every round chose this machine without using it.
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -33,7 +33,7 @@
 ///
 /// Guards against releasing its resources while the record still exists. A leader ended at that
 /// moment, and the next one started both this attempt and the one that had been placed instead, so
-/// that a team exceeded its quota (repeated leader changes, seed 46).
+/// that a team exceeded its quota (`meetings` with leadership handed over and back, seed 46).
 fn assert_closed_once_its_record_is_removed(shard: &mut Shard) {
     let keys = Keys::new("pool");
     let claim = Condition {
