--- a/benches/costs/leader_costs.rs
+++ b/benches/costs/leader_costs.rs
@@ -188,7 +188,7 @@
     let body = serde_json::to_vec(&list).expect("encodable as JSON");
     bencher.bench_local(|| {
         let list: MachineList = serde_json::from_slice(&body).expect("valid JSON");
-        shard.listed(0, &list);
+        shard.merge_machine_list(0, &list);
     });
 }
 
