--- a/src/placement/choice.rs
+++ b/src/placement/choice.rs
@@ -87,7 +87,8 @@
 }
 
 /// Until when a job's tasks wait for a machine that has their image cached, rather than
-/// start on a machine of the given type and fetch the image there.
+/// start on a machine of the given type and fetch the image there. The end of a wait that has
+/// begun stays the same.
 fn cache_wait_end(cluster: &Cluster<'_>, job: &Job, type_ix: TypeIx) -> Millis {
     job.cache_wait_until.unwrap_or_else(|| {
         let info = cluster.topology.type_info[type_ix.usize()].as_ref();
