--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -132,7 +132,7 @@
                 WatchedChange::Leader => self.on_claim_changed(),
                 WatchedChange::Catalogue => self.apply_stored_catalogue(),
                 WatchedChange::Job(id) => self.job_changed(&id),
-                WatchedChange::JobGone(id) => self.job_removed(id),
+                WatchedChange::JobRemoved(id) => self.job_removed(id),
             }
         }
     }
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -15,7 +15,7 @@
     /// The key of the job with this id was created or changed.
     Job(String),
     /// The key of the job with this id was removed.
-    JobGone(String),
+    JobRemoved(String),
 }
 
 /// A copy of the watched keys as of `revision`.
@@ -124,7 +124,7 @@
             changes.extend(self.apply(keys, event));
         }
         let gone = before.into_keys().filter(|id| !self.jobs.contains_key(id));
-        changes.extend(gone.map(WatchedChange::JobGone));
+        changes.extend(gone.map(WatchedChange::JobRemoved));
         // Later pages may be newer than the first one. Applying the log from the revision of
         // the first page makes the cache consistent.
         self.revision = full_read.revision;
@@ -224,7 +224,7 @@
     fn apply_removal(&mut self, keys: &Keys, key: &str) -> Option<WatchedChange> {
         if let Some(id) = key.strip_prefix(&keys.jobs()) {
             self.remove_job(id);
-            return Some(WatchedChange::JobGone(id.into()));
+            return Some(WatchedChange::JobRemoved(id.into()));
         }
         if key == keys.leader() {
             self.leader = None;
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -55,7 +55,7 @@
     let expected = [
         WatchedChange::Job("j-1".into()),
         WatchedChange::Leader,
-        WatchedChange::JobGone("j-9".into()),
+        WatchedChange::JobRemoved("j-9".into()),
     ];
     assert_eq!(changes, expected);
     assert!(cache.is_complete());
@@ -70,7 +70,10 @@
         removal(keys.job("j-1"), 6),
     ];
     let changes = cache.apply_log(&keys, 6, jobs.to_vec());
-    let created_and_removed = [WatchedChange::Job("j-1".into()), WatchedChange::JobGone("j-1".into())];
+    let created_and_removed = [
+        WatchedChange::Job("j-1".into()),
+        WatchedChange::JobRemoved("j-1".into()),
+    ];
     assert_eq!(changes, created_and_removed);
     assert_eq!(cache.apply_log(&keys, 5, jobs.to_vec()), []);
     assert_eq!((cache.revision(), cache.tasks(), cache.jobs().len()), (6, 0, 0));
