--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -137,7 +137,7 @@
                     self.refresh_watch_cache();
                 }
             }
-            StoreReply::LeaseGone if self.election.holds_claim() => {
+            StoreReply::LeaseExpired if self.election.holds_claim() => {
                 tracing::warn!(term = self.election.term(), "lost the lease: it expired");
                 self.step_down(0);
             }
--- a/src/runtime/service_calls/store.rs
+++ b/src/runtime/service_calls/store.rs
@@ -97,13 +97,13 @@
         }
         (StoreRequest::Transact(_), 400) => {
             tracing::warn!(body = %String::from_utf8_lossy(body), "the state service refused a transaction");
-            Some(StoreReply::LeaseGone)
+            Some(StoreReply::LeaseExpired)
         }
         (StoreRequest::Grant { .. }, 200) => {
             json::decode::<LeaseAnswer>(body).map(|answer| StoreReply::Granted { lease: answer.lease })
         }
         (StoreRequest::Renew(_), 200) => Some(StoreReply::Renewed),
-        (StoreRequest::Renew(_), 404) => Some(StoreReply::LeaseGone),
+        (StoreRequest::Renew(_), 404) => Some(StoreReply::LeaseExpired),
         (StoreRequest::Watch { .. }, 200) => json::decode(body).map(StoreReply::Log),
         (StoreRequest::Watch { .. }, 410) => Some(StoreReply::TooOld),
         _ => None,
--- a/src/runtime/service_calls/tests.rs
+++ b/src/runtime/service_calls/tests.rs
@@ -16,7 +16,7 @@
     let renewal = StoreRequest::Renew(7);
     let cases = [
         (response(200, ""), StoreReply::Renewed),
-        (response(404, ""), StoreReply::LeaseGone),
+        (response(404, ""), StoreReply::LeaseExpired),
         (response(429, ""), StoreReply::Throttled),
         (response(503, ""), StoreReply::Unavailable),
         (response(500, ""), StoreReply::Unanswered),
--- a/src/store/requests.rs
+++ b/src/store/requests.rs
@@ -81,7 +81,7 @@
     /// The lease was renewed.
     Renewed,
     /// The lease to renew has expired.
-    LeaseGone,
+    LeaseExpired,
     /// All changes after the requested revision, in reply to a watch.
     Log(Log),
     /// The service no longer keeps all changes after the requested revision, so the watched
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -89,7 +89,7 @@
                     *until = now + *ttl;
                     StoreReply::Renewed
                 }
-                None => StoreReply::LeaseGone,
+                None => StoreReply::LeaseExpired,
             },
             StoreRequest::Watch { prefix, since, .. } => self.changes_since(prefix, *since),
         }
@@ -157,7 +157,7 @@
                     "a value is longer than 16 KiB"
                 );
                 if lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
-                    return StoreReply::LeaseGone;
+                    return StoreReply::LeaseExpired;
                 }
             }
         }
