--- a/benches/costs/harness/state_service.rs
+++ b/benches/costs/harness/state_service.rs
@@ -2,7 +2,7 @@
 
 use super::Harness;
 use sumacbend::store::{StoreReply, StoreRequest};
-use sumacbend::wire::{Change, Entry, Log, Page, Transaction};
+use sumacbend::wire::{Change, Entry, Page, Transaction, WatchLog};
 
 impl Harness {
     /// Returns the reply to a request, or `None` for a watch that waits for changes, which is never
@@ -36,7 +36,7 @@
                 })
             }
             StoreRequest::Transact(transaction) => self.transact(transaction),
-            StoreRequest::Watch { wait_ms: 0, .. } => StoreReply::Log(Log {
+            StoreRequest::Watch { wait_ms: 0, .. } => StoreReply::WatchLog(WatchLog {
                 revision: self.revision,
                 events: Vec::new(),
             }),
--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -29,7 +29,7 @@
         if self.election.phase() != Phase::Loading {
             return;
         }
-        if matches!(reply, StoreReply::Page(_) | StoreReply::Log(_)) {
+        if matches!(reply, StoreReply::Page(_) | StoreReply::WatchLog(_)) {
             self.load_progress.answered(self.now);
         }
         if stage == LoadStage::WatchCache && self.load_jobs(&reply) {
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -103,7 +103,7 @@
 }
 
 fn empty_log() -> StoreReply {
-    StoreReply::Log(crate::wire::Log {
+    StoreReply::WatchLog(crate::wire::WatchLog {
         revision: 2,
         events: Vec::new(),
     })
--- a/src/controller/tests/job_end_answers.rs
+++ b/src/controller/tests/job_end_answers.rs
@@ -133,7 +133,7 @@
 
 /// The reply to a confirming read that was executed before any change.
 fn empty_log_reply() -> StoreReply {
-    StoreReply::Log(crate::wire::Log {
+    StoreReply::WatchLog(crate::wire::WatchLog {
         revision: 9,
         events: Vec::new(),
     })
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -113,7 +113,7 @@
     /// up to date.
     pub(super) fn apply_watch_log(&mut self, reply: StoreReply) -> bool {
         match reply {
-            StoreReply::Log(log) if self.watch_cache.is_complete() => {
+            StoreReply::WatchLog(log) if self.watch_cache.is_complete() => {
                 let changes = self.watch_cache.apply_log(&self.keys, log.revision, log.events);
                 self.on_watched_changes(changes);
                 true
--- a/src/runtime/service_calls/store.rs
+++ b/src/runtime/service_calls/store.rs
@@ -104,7 +104,7 @@
         }
         (StoreRequest::Renew(_), 200) => Some(StoreReply::Renewed),
         (StoreRequest::Renew(_), 404) => Some(StoreReply::LeaseExpired),
-        (StoreRequest::Watch { .. }, 200) => json::decode(body).map(StoreReply::Log),
+        (StoreRequest::Watch { .. }, 200) => json::decode(body).map(StoreReply::WatchLog),
         (StoreRequest::Watch { .. }, 410) => Some(StoreReply::TooOld),
         _ => None,
     }
--- a/src/store/requests.rs
+++ b/src/store/requests.rs
@@ -1,6 +1,6 @@
 //! Requests to the state service and their replies.
 
-use crate::wire::{Log, Page, Transaction};
+use crate::wire::{Page, Transaction, WatchLog};
 use serde_json::Value;
 use std::sync::Arc;
 
@@ -83,7 +83,7 @@
     /// The lease to renew has expired.
     LeaseExpired,
     /// All changes after the requested revision, in reply to a watch.
-    Log(Log),
+    WatchLog(WatchLog),
     /// The service no longer keeps all changes after the requested revision, so the watched
     /// keys must be read again.
     TooOld,
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -149,7 +149,7 @@
 /// The answer to a watch: every change after the requested revision.
 // The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Log {
+pub struct WatchLog {
     /// Revision of the store up to which the log is complete.
     #[serde(rename = "bookRev")]
     pub revision: u64,
--- a/tests/golden/wire.rs
+++ b/tests/golden/wire.rs
@@ -42,8 +42,8 @@
     check_round_trip::<LeaseRequest>("wire/lease_request.txt");
     check_round_trip::<LeaseAnswer>("wire/lease_answer.txt");
     check_normalized::<LeaseAnswer>("wire/lease_answer_read.txt");
-    check_round_trip::<Log>("wire/log.txt");
-    check_normalized::<Log>("wire/log_read.txt");
+    check_round_trip::<WatchLog>("wire/log.txt");
+    check_normalized::<WatchLog>("wire/log_read.txt");
 }
 
 /// Removes one field at a time from the JSON on the first line of the file, and checks that the
@@ -74,7 +74,7 @@
     check_required_fields::<Entry>("wire/entry.txt", &[]);
     check_required_fields::<TransactionAnswer>("wire/revision.txt", &[]);
     check_required_fields::<LeaseAnswer>("wire/lease_answer.txt", &[]);
-    check_required_fields::<Log>("wire/log.txt", &[]);
+    check_required_fields::<WatchLog>("wire/log.txt", &[]);
     check_required_fields::<Catalogue>("wire/catalogue.txt", &[]);
 }
 
--- a/tests/rules/world/state_service.rs
+++ b/tests/rules/world/state_service.rs
@@ -95,7 +95,7 @@
             return;
         }
         let answer = self.store.execute(self.now, &request);
-        if let (StoreRequest::Watch { wait_ms, .. }, StoreReply::Log(log)) = (&request, &answer)
+        if let (StoreRequest::Watch { wait_ms, .. }, StoreReply::WatchLog(log)) = (&request, &answer)
             && *wait_ms > 0
             && log.events.is_empty()
         {
@@ -123,7 +123,7 @@
         }
         for watch in std::mem::take(&mut self.watches) {
             let answer = self.store.execute(self.now, &watch.request);
-            let empty = matches!(&answer, StoreReply::Log(log) if log.events.is_empty());
+            let empty = matches!(&answer, StoreReply::WatchLog(log) if log.events.is_empty());
             let node = &self.nodes[watch.caller.node];
             let unreachable_until = node
                 .store_cut_until
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use sumacbend::store::{StoreReply, StoreRequest};
-use sumacbend::wire::{Change, Entry, Event, Log, Page, Transaction};
+use sumacbend::wire::{Change, Entry, Event, Page, Transaction, WatchLog};
 
 /// The contents of the state service: keys, leases and the log of changes.
 #[derive(Default)]
@@ -131,7 +131,7 @@
             let key = event.put.as_ref().or(event.delete.as_ref());
             key.is_some_and(|key| key.starts_with(prefix))
         });
-        StoreReply::Log(Log {
+        StoreReply::WatchLog(WatchLog {
             revision: self.revision,
             events: events.cloned().collect(),
         })
