--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -1,7 +1,7 @@
 //! The watch cache: a copy of the watched keys, kept by every controller.
 
 use super::{JobKey, Keys, LeaderValue, TermValue};
-use crate::wire::{Event, Page};
+use crate::wire::{Page, WatchEvent};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -43,7 +43,7 @@
     /// The revision of the first page.
     revision: u64,
     /// The keys read so far, represented as puts.
-    events: Vec<Event>,
+    events: Vec<WatchEvent>,
 }
 
 /// A change of a key: a put or a removal.
@@ -53,7 +53,7 @@
 }
 
 impl KeyChange {
-    fn of(event: Event) -> Option<KeyChange> {
+    fn of(event: WatchEvent) -> Option<KeyChange> {
         match (event.put, event.delete) {
             (Some(key), _) => Some(KeyChange::Put {
                 key,
@@ -99,7 +99,7 @@
             revision: page.revision,
             events: Vec::new(),
         });
-        full_read.events.extend(page.items.into_iter().map(|entry| Event {
+        full_read.events.extend(page.items.into_iter().map(|entry| WatchEvent {
             put: Some(entry.key),
             delete: None,
             value: entry.value,
@@ -165,7 +165,7 @@
 
     /// Applies a log of changes that begins at or before the revision of the cache and ends at
     /// `revision`.
-    pub fn apply_log(&mut self, keys: &Keys, revision: u64, events: Vec<Event>) -> Vec<WatchedChange> {
+    pub fn apply_log(&mut self, keys: &Keys, revision: u64, events: Vec<WatchEvent>) -> Vec<WatchedChange> {
         let known = self.revision;
         let mut changes = Vec::new();
         for event in events {
@@ -178,7 +178,7 @@
         changes
     }
 
-    fn apply(&mut self, keys: &Keys, event: Event) -> Option<WatchedChange> {
+    fn apply(&mut self, keys: &Keys, event: WatchEvent) -> Option<WatchedChange> {
         let version = event.version;
         match KeyChange::of(event)? {
             KeyChange::Put { key, value } => self.apply_put(keys, &key, value, version),
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -18,8 +18,8 @@
     Page { items, more, revision }
 }
 
-fn put(key: String, value: Value, version: u64) -> Event {
-    Event {
+fn put(key: String, value: Value, version: u64) -> WatchEvent {
+    WatchEvent {
         put: Some(key),
         delete: None,
         value,
@@ -27,8 +27,8 @@
     }
 }
 
-fn removal(key: String, version: u64) -> Event {
-    Event {
+fn removal(key: String, version: u64) -> WatchEvent {
+    WatchEvent {
         put: None,
         delete: Some(key),
         value: Value::Null,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -13,7 +13,7 @@
 
 pub use cloud::{Catalogue, ListedMachine, MachineList, MachineNames, MachineRequest, MachineState, MachineType};
 pub use store::{
-    Change, Condition, Entry, Event, LeaseAnswer, LeaseRequest, Page, Transaction, TransactionAnswer, WatchLog,
+    Change, Condition, Entry, LeaseAnswer, LeaseRequest, Page, Transaction, TransactionAnswer, WatchEvent, WatchLog,
 };
 pub use users::{JobKind, JobSpec, JobState, JobStatus, Priority};
 pub use workers::{Command, DirectCommands, ExitReason, Redirect, Report, ReportAnswer, TaskReport, TaskState};
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -131,7 +131,7 @@
 /// A change seen by a watch: a put, or (without `put`) a removal.
 // The fields are renamed to the protocol's names; those of the other kind are left out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Event {
+pub struct WatchEvent {
     /// Name of the key that was put; absent for a removal.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
@@ -155,5 +155,5 @@
     pub revision: u64,
     /// The changes, in the order of their revisions.
     #[serde(rename = "log")]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -12,7 +12,7 @@
 use sumacbend::policy::Policy;
 use sumacbend::settings::Settings;
 use sumacbend::store::{JobKey, Keys, WatchCache};
-use sumacbend::wire::{Catalogue, Event, JobState, MachineType, Report, TaskReport};
+use sumacbend::wire::{Catalogue, JobState, MachineType, Report, TaskReport, WatchEvent};
 use sumacbend::workers::ReportPath;
 
 #[global_allocator]
@@ -189,7 +189,7 @@
             ended,
             ..job_key(number, 35)
         };
-        let event = Event {
+        let event = WatchEvent {
             put: Some(keys.job(&key.spec.id)),
             delete: None,
             value: json!(key),
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use sumacbend::store::{StoreReply, StoreRequest};
-use sumacbend::wire::{Change, Entry, Event, Page, Transaction, WatchLog};
+use sumacbend::wire::{Change, Entry, Page, Transaction, WatchEvent, WatchLog};
 
 /// The contents of the state service: keys, leases and the log of changes.
 #[derive(Default)]
@@ -12,7 +12,7 @@
     /// The number of the last change.
     pub revision: u64,
     /// All changes so far, oldest first.
-    log: Vec<Event>,
+    log: Vec<WatchEvent>,
     /// Time to live and expiry time of each lease, in milliseconds.
     leases: BTreeMap<u64, (u64, u64)>,
     /// The id of the lease granted last.
@@ -57,7 +57,7 @@
 
     fn delete(&mut self, key: &str) {
         if self.entries.remove(key).is_some() {
-            self.log.push(Event {
+            self.log.push(WatchEvent {
                 put: None,
                 delete: Some(key.into()),
                 value: serde_json::Value::Null,
@@ -182,7 +182,7 @@
             match change {
                 Change::Put { put, value, lease } => {
                     self.entries.insert(put.clone(), (value.clone(), self.revision, *lease));
-                    self.log.push(Event {
+                    self.log.push(WatchEvent {
                         put: Some(put.clone()),
                         delete: None,
                         value: value.clone(),
