--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -188,7 +188,7 @@
     ///
     /// A transaction that was built under an earlier version of the claim is ignored.
     pub(super) fn detect_lost_claim(&mut self, request: &StoreRequest, failed: &[String]) -> bool {
-        let condition = self.election.condition(&self.keys);
+        let condition = self.election.claim_condition(&self.keys);
         let is_current =
             matches!(request, StoreRequest::Transact(transaction) if transaction.conditions.contains(&condition));
         let is_lost = is_current && self.election.holds_claim() && failed.contains(&condition.key);
@@ -208,7 +208,7 @@
     /// Steps down and deletes the claim, so that another controller can claim the shard.
     pub(super) fn resign(&mut self, claim_delay: Millis) {
         let transaction = Transaction {
-            conditions: vec![self.election.condition(&self.keys)],
+            conditions: vec![self.election.claim_condition(&self.keys)],
             changes: vec![Change::delete(self.keys.leader())],
         };
         self.step_down(claim_delay);
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -183,7 +183,7 @@
         let stored = self.watch_cache.catalogue();
         if stored.is_none_or(|stored| *stored != value) && self.election.is_acting_leader(self.now) {
             let transaction = Transaction {
-                conditions: vec![self.election.condition(&self.keys)],
+                conditions: vec![self.election.claim_condition(&self.keys)],
                 changes: vec![Change::put(self.keys.catalogue(), value)],
             };
             self.enqueue(Purpose::WriteCatalogue, StoreRequest::Transact(transaction.into()));
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -20,7 +20,7 @@
             return;
         }
         self.leader_timers.commit_attempted(self.now);
-        let claim = self.election.condition(&self.keys);
+        let claim = self.election.claim_condition(&self.keys);
         let max_changes = self.settings.params.state.txn_ops as usize;
         let max_deferrable_changes = self.store_client.write_allowance(self.now).max(1);
         let Some(shard) = &mut self.shard else {
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -12,7 +12,7 @@
         let claim = self
             .election
             .is_acting_leader(self.now)
-            .then(|| self.election.condition(&self.keys));
+            .then(|| self.election.claim_condition(&self.keys));
         let (catalogue, teams) = (&self.catalogue, &self.settings.params.teams);
         let feasibility = |spec: &JobSpec| Feasibility::of(spec, teams, catalogue.as_ref());
         let (shard, peers) = (&self.shard, &self.peers);
--- a/src/election/claim.rs
+++ b/src/election/claim.rs
@@ -9,7 +9,7 @@
 impl LeaderElection {
     /// Returns the condition that this controller's claim still holds, which every transaction
     /// of the leader includes.
-    pub fn condition(&self, keys: &Keys) -> Condition {
+    pub fn claim_condition(&self, keys: &Keys) -> Condition {
         Condition {
             key: keys.leader(),
             version: self.claim_version,
