--- a/benches/costs/follower_costs.rs
+++ b/benches/costs/follower_costs.rs
@@ -34,14 +34,14 @@
             reply: ReportReply::Accepted(answer.clone()),
         });
         let message = Message::ReportReplies {
-            answers: replies.collect(),
+            replies: replies.collect(),
         };
         let frame = rmp_serde::to_vec(&message).expect("encodable as MessagePack");
         let message: Message = rmp_serde::from_slice(&frame).expect("a valid frame");
-        let Message::ReportReplies { answers } = message else {
+        let Message::ReportReplies { replies } = message else {
             unreachable!("the message encoded above");
         };
-        for reply in answers {
+        for reply in replies {
             if let ReportReply::Accepted(answer) = reply.reply {
                 black_box(serde_json::to_string(&answer).expect("encodable as JSON"));
             }
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -27,7 +27,7 @@
             } => self.on_forwarded_request(node, &shard, id, user_request),
             Message::ForwardReply { id, answer } => self.on_forward_reply(&node, id, answer),
             Message::RelayReports { reports, .. } => self.on_relayed_reports(node, reports),
-            Message::ReportReplies { answers } => self.on_report_replies(answers),
+            Message::ReportReplies { replies } => self.on_report_replies(replies),
             Message::RequestLeaseExtension {
                 term,
                 requested_at,
--- a/src/controller/worker_reports.rs
+++ b/src/controller/worker_reports.rs
@@ -49,7 +49,7 @@
 
     /// Answers the reports that a peer relayed to this leader.
     pub(super) fn on_relayed_reports(&mut self, node: String, reports: Vec<RelayedReport>) {
-        let answers = reports
+        let replies = reports
             .into_iter()
             .map(|RelayedReport { id, report }| {
                 let answer = self.answer_report(&report, Some(&node));
@@ -57,13 +57,13 @@
                 RelayedReportReply { id, reply }
             })
             .collect();
-        let message = Message::ReportReplies { answers };
+        let message = Message::ReportReplies { replies };
         self.outputs.push(Output::Peer { node, message });
     }
 
     /// Passes the leader's replies on to the workers whose reports this controller relayed.
-    pub(super) fn on_report_replies(&mut self, answers: Vec<RelayedReportReply>) {
-        for RelayedReportReply { id, reply } in answers {
+    pub(super) fn on_report_replies(&mut self, replies: Vec<RelayedReportReply>) {
+        for RelayedReportReply { id, reply } in replies {
             if let Some(request) = self.report_relay.take_request(id) {
                 self.answer_worker(request, reply);
             }
--- a/src/peers/message.rs
+++ b/src/peers/message.rs
@@ -164,7 +164,7 @@
     #[serde(rename = "Relayed")]
     ReportReplies {
         /// The replies in the order of the reports.
-        answers: Vec<RelayedReportReply>,
+        replies: Vec<RelayedReportReply>,
     },
     /// Direct commands for the receiver to deliver to workers.
     #[serde(rename = "Push")]
--- a/src/peers/tests.rs
+++ b/src/peers/tests.rs
@@ -15,7 +15,7 @@
         for message in [
             Message::ForwardRequest { shard: "pool".into(), id, user_request: UserRequest::Submit(text.clone()) },
             Message::ForwardReply { id, answer: Answer { status: 503, body: text.clone(), retry_after_s: retry } },
-            Message::ReportReplies { answers: vec![RelayedReportReply { id, reply: ReportReply::Redirected(Some(text.clone())) }] },
+            Message::ReportReplies { replies: vec![RelayedReportReply { id, reply: ReportReply::Redirected(Some(text.clone())) }] },
             Message::DeliverCommands {
                 shard: "pool".into(),
                 commands: vec![AddressedCommands { id, address: text.clone(), commands: DirectCommands {
