--- a/src/election/claim.rs
+++ b/src/election/claim.rs
@@ -36,7 +36,7 @@
         Some(self.claim(keys, version, watch_cache))
     }
 
-    /// Returns a new claim that replaces this controller's own claim. The higher term
+    /// Returns a new claim that replaces this controller's current claim. The higher term
     /// invalidates all commands that are still in flight.
     pub fn raise_term(&mut self, keys: &Keys, watch_cache: &WatchCache) -> Transaction {
         self.claim(keys, self.claim_version, watch_cache)
--- a/src/election/extension.rs
+++ b/src/election/extension.rs
@@ -4,18 +4,18 @@
 use super::{LeaderElection, Phase, SAFETY_MARGIN_MS};
 use crate::Millis;
 
-/// How long a controller that grants a lease extension does not claim the shard, in
-/// milliseconds.
+/// How long a lease extension lasts after the leader requested it, in milliseconds. A controller
+/// that grants it does not claim the shard for this time and a safety margin.
 pub const EXTENSION_MS: Millis = 2_000;
 /// A leader requests an extension when its last successful renewal was sent this long ago.
 pub(super) const REQUEST_LEASE_AGE_MS: Millis = 1_500;
-/// The minimum time between two requests.
+/// The minimum time between two requests for an extension.
 const REQUEST_INTERVAL_MS: Millis = 300;
 
 /// The leader's requests for lease extensions.
 #[derive(Debug, Default)]
 pub(super) struct ExtensionRequests {
-    /// When the last request was sent.
+    /// When the last request was sent, 0 if none was.
     last_at: Millis,
 }
 
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Grants a leader's request unless this controller is claiming or holds the shard. Returns
-    /// whether the request is granted.
+    /// Decides on a leader's request: grants it, and delays this controller's next claim,
+    /// unless this controller is claiming or holds the shard. Returns whether it is granted.
     pub fn grant_extension(&mut self, now: Millis) -> bool {
         let is_follower = self.phase == Phase::Follower;
         if is_follower {
--- a/src/election/mod.rs
+++ b/src/election/mod.rs
@@ -41,14 +41,18 @@
     node: String,
     incarnation: u64,
     phase: Phase,
+    /// The term of this controller's current or last claim, 0 if it never claimed.
     term: u64,
-    /// Version of the claim key. Every transaction of the leader is conditional on it.
+    /// Version of the leader key. Every transaction of the leader is conditional on it.
     claim_version: u64,
+    /// The id of the current lease.
     lease: Option<u64>,
     /// When the current lease, or the one being requested, was requested.
     lease_requested_at: Option<Millis>,
+    /// The earliest time of the next renewal.
     renew_not_before: Millis,
     validity: Validity,
+    /// Present while the leadership is suspended.
     suspension: Option<Suspension>,
     extension_requests: ExtensionRequests,
     claim_wait: ClaimWait,
@@ -94,7 +98,7 @@
         self.term
     }
 
-    /// Returns the version of the claim key as this controller last wrote it.
+    /// Returns the version of the leader key as this controller last wrote it.
     pub fn claim_version(&self) -> u64 {
         self.claim_version
     }
--- a/src/election/phase.rs
+++ b/src/election/phase.rs
@@ -7,7 +7,7 @@
 
 /// How often the leader renews its lease.
 const RENEW_INTERVAL_MS: Millis = 1_000;
-/// How long after a failed renewal the next one is due.
+/// The maximum time between a failed renewal and the next attempt.
 const RENEW_RETRY_MS: Millis = 300;
 /// How much longer a controller that can't reach any other controller waits before it claims
 /// the shard, so that a connected controller can claim it first.
@@ -52,7 +52,7 @@
     /// When this incarnation was first polled. An earlier incarnation may have granted a lease
     /// extension just before.
     started_at: Option<Millis>,
-    /// Since when the shard has been vacant, as far as this controller knows.
+    /// When this controller first saw that the shard was vacant, or `None` if it is not.
     vacant_since: Option<Millis>,
     /// The earliest time of a claim.
     not_before: Millis,
@@ -95,7 +95,7 @@
         self.suspension = Some(Suspension { renewed_at: None });
     }
 
-    /// Requests a lease once the shard has been vacant for long enough.
+    /// Requests a lease if the shard is vacant and the delays before a claim have passed.
     fn poll_follower(
         &mut self,
         now: Millis,
@@ -126,7 +126,8 @@
     /// Returns whether the watch cache shows that the shard may be claimed.
     fn is_vacant(&self, now: Millis, started_at: Millis, watch_cache: &WatchCache) -> bool {
         match &watch_cache.leader() {
-            // If there has never been a leader, no lease extension can have been granted.
+            // An earlier incarnation of this controller may have granted a lease extension, unless
+            // there has never been a leader.
             None => watch_cache.term().0 == 0 || now >= started_at + EXTENSION_MS + SAFETY_MARGIN_MS,
             // A claim by an earlier incarnation of this controller counts as vacant.
             Some((leader, _)) => self.is_claim_of_earlier_incarnation(leader),
--- a/src/election/validity.rs
+++ b/src/election/validity.rs
@@ -19,6 +19,7 @@
 }
 
 impl Validity {
+    /// Returns a validity that has expired already.
     pub(super) fn new(max_watch_cache_age_ms: Millis) -> Validity {
         Validity {
             lease_until: 0,
@@ -33,7 +34,8 @@
         now < self.lease_until.min(self.watch_cache_until).max(self.extended_until)
     }
 
-    /// Returns whether the lease should be renewed, even if it has already expired.
+    /// Returns whether the leader may renew its lease: the watch cache or the lease extension is
+    /// valid. The lease itself may have expired as far as this controller knows.
     pub(super) fn may_renew(&self, now: Millis) -> bool {
         now < self.watch_cache_until.max(self.extended_until)
     }
@@ -93,7 +95,8 @@
         self.holds_claim() && is_read_newer && self.validity.covers(now)
     }
 
-    /// Ends the suspension, after a read since the expiry has shown that the claim still holds.
+    /// Ends the suspension. Called when [`LeaderElection::may_resume`] holds and the watch cache
+    /// still shows this controller's claim.
     pub fn resume(&mut self) {
         tracing::info!(term = self.term, "resumed leadership: the claim still holds");
         self.suspension = None;
