--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -19,7 +19,7 @@
         Keys { shard: shard.into() }
     }
 
-    /// The prefix of the watched keys.
+    /// The prefix of the watched keys, which every controller holds in its watch cache.
     pub fn watched(&self) -> String {
         format!("live/{}/", self.shard)
     }
--- a/src/store/requests.rs
+++ b/src/store/requests.rs
@@ -39,7 +39,8 @@
 }
 
 impl StoreRequest {
-    /// Returns the number of puts and deletes, which count against the service's write rate.
+    /// Returns the number of puts and deletes, each of which counts against the service's write
+    /// rate limit.
     pub fn writes(&self) -> u32 {
         match self {
             StoreRequest::Transact(transaction) => transaction.changes.len() as u32,
@@ -51,14 +52,14 @@
 /// The outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
-    /// A key was read.
+    /// The requested key was read.
     Found {
         /// The value of the key.
         value: Value,
         /// The version of the key: the revision of its last change.
         version: u64,
     },
-    /// The key does not exist.
+    /// The requested key does not exist.
     Missing,
     /// A page of keys was read.
     Page(Page),
--- a/src/store/token_bucket.rs
+++ b/src/store/token_bucket.rs
@@ -5,7 +5,7 @@
 const MILLIS_PER_SECOND: f64 = 1000.0;
 /// The capacity of a bucket, in seconds at its rate.
 const BURST_S: f64 = 0.5;
-/// The minimum capacity of a bucket, in tokens, so that requests can pass at a low rate.
+/// The minimum capacity of a bucket, in tokens, so that single requests can pass at a low rate.
 const MIN_BURST: f64 = 1.0;
 
 /// A token bucket with a capacity of half a second at its rate, so that the bursts of all
@@ -50,7 +50,8 @@
         self.level > 0.0
     }
 
-    /// Returns the number of tokens that can be spent now without an overdraft.
+    /// Returns the number of tokens that can be spent now without an overdraft, possibly a
+    /// fraction.
     pub fn level(&mut self, now: Millis) -> f64 {
         self.refill(now);
         self.level.max(0.0)
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// A change of the watch cache that the controller may have to react to.
+/// A change in the watch cache that the controller may have to react to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchedChange {
     /// The leader's claim was created, changed or removed.
@@ -53,7 +53,8 @@
 }
 
 impl KeyChange {
-    fn of(event: WatchEvent) -> Option<KeyChange> {
+    /// Returns the change that an event describes, or `None` if it names no key.
+    fn from_event(event: WatchEvent) -> Option<KeyChange> {
         match (event.put, event.delete) {
             (Some(key), _) => Some(KeyChange::Put {
                 key,
@@ -112,7 +113,7 @@
         Some(self.replace_all(keys, full_read))
     }
 
-    /// Replaces the cached jobs and claim with those of a full read.
+    /// Replaces the cached jobs and claim with those of a full read, and returns the changes.
     fn replace_all(&mut self, keys: &Keys, full_read: FullRead) -> Vec<WatchedChange> {
         let mut changes: Vec<WatchedChange> = Vec::new();
         if self.leader.take().is_some() {
@@ -123,8 +124,8 @@
         for event in full_read.events {
             changes.extend(self.apply(keys, event));
         }
-        let gone = before.into_keys().filter(|id| !self.jobs.contains_key(id));
-        changes.extend(gone.map(WatchedChange::JobRemoved));
+        let removed = before.into_keys().filter(|id| !self.jobs.contains_key(id));
+        changes.extend(removed.map(WatchedChange::JobRemoved));
         // Later pages may be newer than the first one. Applying the log from the revision of
         // the first page makes the cache consistent.
         self.revision = full_read.revision;
@@ -132,8 +133,8 @@
         changes
     }
 
-    /// Returns the unfinished jobs and the ended jobs that are not cleaned up yet by id, each
-    /// with the version of its key.
+    /// Returns, by id, the unfinished jobs and the ended jobs that have not been cleaned up yet,
+    /// each with the version of its key.
     pub fn jobs(&self) -> &BTreeMap<String, (JobKey, u64)> {
         &self.jobs
     }
@@ -163,13 +164,13 @@
         self.full_read = None;
     }
 
-    /// Applies a log of changes that begins at or before the revision of the cache and ends at
-    /// `revision`.
+    /// Applies all changes after a revision that the cache has already reached, up to `revision`.
+    /// Returns the changes that the controller may have to react to.
     pub fn apply_log(&mut self, keys: &Keys, revision: u64, events: Vec<WatchEvent>) -> Vec<WatchedChange> {
         let known = self.revision;
         let mut changes = Vec::new();
         for event in events {
-            // The logs of two requests may overlap. Older changes must not overwrite newer ones.
+            // The replies to two requests may overlap. Older changes must not overwrite newer ones.
             if event.version > known {
                 changes.extend(self.apply(keys, event));
             }
@@ -180,7 +181,7 @@
 
     fn apply(&mut self, keys: &Keys, event: WatchEvent) -> Option<WatchedChange> {
         let version = event.version;
-        match KeyChange::of(event)? {
+        match KeyChange::from_event(event)? {
             KeyChange::Put { key, value } => self.apply_put(keys, &key, value, version),
             KeyChange::Removed { key } => self.apply_removal(keys, &key),
         }
