--- a/src/peers/links.rs
+++ b/src/peers/links.rs
@@ -33,6 +33,7 @@
 }
 
 impl PeerLink {
+    /// Whether a heartbeat was received within the heartbeat timeout.
     fn is_reachable(&self, now: Millis) -> bool {
         self.heartbeat_received_at
             .is_some_and(|at| now < at + HEARTBEAT_TIMEOUT_MS)
@@ -42,9 +43,12 @@
 /// The known states of all other controllers.
 #[derive(Debug, Default)]
 pub struct PeerLinks {
+    /// Keyed by the name of the controller.
     links: BTreeMap<String, PeerLink>,
+    /// When this controller last sent heartbeats.
     heartbeat_sent_at: Millis,
-    /// Counter for the round-robin choice among the reachable controllers.
+    /// The number of calls of [`PeerLinks::next_reachable_peer`] so far, for its round-robin
+    /// choice.
     round_robin_counter: usize,
     /// Task counts by job id, as last reported by the leader.
     task_counts: BTreeMap<String, TaskCounts>,
@@ -61,7 +65,8 @@
 }
 
 impl PeerLinks {
-    /// Returns the state before any heartbeat of these controllers has been received.
+    /// Returns the state before any heartbeat has been received. `nodes` are the names of all other
+    /// controllers.
     pub fn new(nodes: impl IntoIterator<Item = String>) -> PeerLinks {
         PeerLinks {
             links: nodes.into_iter().map(|node| (node, PeerLink::default())).collect(),
--- a/src/peers/message.rs
+++ b/src/peers/message.rs
@@ -74,7 +74,7 @@
 /// The leader's reply to a relayed report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayedReportReply {
-    /// The id of the relayed report.
+    /// The id that the relaying controller chose for the report.
     pub id: u64,
     /// Whether the report was accepted or redirected.
     pub reply: ReportReply,
@@ -94,9 +94,9 @@
 /// The outcome of direct commands that a peer delivered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommandReply {
-    /// The id of the commands.
+    /// The id that the leader chose for the commands.
     pub id: u64,
-    /// The outcome.
+    /// Whether the worker executed the commands, with its report if it replied.
     pub reply: WorkerReply,
 }
 
@@ -114,13 +114,14 @@
 pub struct JobTaskCounts {
     /// The job's id.
     pub job: String,
-    /// Tasks that are done.
+    /// The number of tasks that are done.
     pub done: u32,
-    /// Tasks that are running.
+    /// The number of tasks that are running.
     pub running: u32,
 }
 
-/// A message between controllers. Messages that concern a shard contain its name.
+/// A message between controllers. All messages except replies contain the name of the shard that
+/// they concern.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Sent periodically to report the sender's state.
@@ -147,7 +148,7 @@
     /// The answer to a forwarded request.
     #[serde(rename = "Forwarded")]
     ForwardReply {
-        /// The id of the forwarded request.
+        /// The id that the receiver chose for the forwarded request.
         id: u64,
         /// The answer to send to the user.
         answer: Answer,
@@ -204,7 +205,8 @@
         /// The jobs cancelled after the revision of the request, as far as the sender knows.
         cancelled_jobs: Vec<CancelledJob>,
     },
-    /// Task counts of unfinished jobs, for display.
+    /// Task counts of unfinished jobs, which the leader sends so that every controller can show
+    /// them to users.
     #[serde(rename = "Counts")]
     TaskCounts {
         /// The shard of the jobs.
