--- a/src/controller/claim.rs
+++ b/src/controller/claim.rs
@@ -11,12 +11,13 @@
 use crate::wire::{Change, Transaction};
 use std::sync::Arc;
 
-/// Delay before the next claim when the previous one failed or its outcome is unknown.
+/// Delay before the next claim after a lease request or a claim that failed or has an unknown
+/// outcome.
 const CLAIM_RETRY_MS: Millis = 500;
 
 impl Controller {
     /// Handles a change of the claim in the watch cache: steps down if it has a higher term than
-    /// our own claim.
+    /// this controller's claim.
     pub(super) fn on_claim_changed(&mut self) {
         let Some((leader, version)) = self.watch_cache.leader() else {
             return;
@@ -155,10 +156,10 @@
             return;
         }
         let claim = self.watch_cache.leader();
-        let is_ours = claim.is_some_and(|(leader, version)| {
+        let is_current = claim.is_some_and(|(leader, version)| {
             self.election.is_current_claim(leader) && *version == self.election.claim_version()
         });
-        if is_ours {
+        if is_current {
             self.election.resume();
         } else {
             self.step_down(0);
@@ -199,13 +200,14 @@
         is_lost
     }
 
-    /// Whether neither another controller nor a worker has been heard within the isolation
-    /// timeout.
+    /// Whether neither another controller nor a worker has been heard from within the isolation
+    /// timeout. Always false for the only controller.
     pub(super) fn is_isolated(&self) -> bool {
         !self.peers.has_no_peers() && self.leader_timers.is_isolated(self.now, self.peers.last_heartbeat_at())
     }
 
-    /// Steps down and deletes the claim, so that another controller can claim the shard.
+    /// Steps down and deletes the claim, so that another controller can claim the shard. This
+    /// controller does not claim it again before `claim_delay` milliseconds have passed.
     pub(super) fn resign(&mut self, claim_delay: Millis) {
         let transaction = Transaction {
             conditions: vec![self.election.claim_condition(&self.keys)],
@@ -215,6 +217,7 @@
         self.enqueue(Purpose::Resign, StoreRequest::Transact(transaction.into()));
     }
 
+    /// Sends the transaction that claims the shard or raises the term.
     fn send_claim(&mut self, transaction: Transaction) {
         let transaction = Arc::new(transaction);
         let purpose = Purpose::Claim {
@@ -232,7 +235,8 @@
         };
         let is_reload_requested = self.term_raise.is_reload_requested();
         let is_needed = is_reload_requested || shard.workers.needs_higher_term;
-        // A new claim ends the lease extension, and cannot succeed during an outage.
+        // A claim cannot succeed during an outage in which only a lease extension is valid, and
+        // this controller would not act as the leader while the claim is in flight.
         if !is_needed || !self.election.is_lease_valid(self.now) || !self.term_raise.is_allowed(self.now) {
             return false;
         }
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -10,7 +10,9 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
+/// How often the leader reads the catalogue.
 const CATALOGUE_INTERVAL_MS: Millis = 60_000;
+/// Delay before a failed or unanswered call is repeated, except for machine lists.
 const RETRY_MS: Millis = 1_000;
 /// How long an offer is not requested again after the cloud provided fewer machines than requested.
 const REFUSED_OFFER_BACKOFF_MS: Millis = 15_000;
@@ -34,7 +36,9 @@
 #[derive(Debug)]
 pub struct CloudCalls {
     rate: TokenBucket,
+    /// Keyed by call id.
     in_flight: BTreeMap<u64, CloudPurpose>,
+    /// When the next read of the catalogue is due.
     catalogue_due: Millis,
     /// The last machine of the previous page; empty before the first page of a list.
     list_after: String,
@@ -176,8 +180,8 @@
         }
     }
 
-    /// Stores a changed catalogue in the state service, so that a controller that restarts while
-    /// the cloud is unreachable can still decide on submissions.
+    /// Sets the catalogue. If it has changed, also stores it in the state service, so that a
+    /// controller that restarts while the cloud is unreachable can still decide on submissions.
     fn catalogue_read(&mut self, catalogue: Catalogue) {
         let value = json!(catalogue);
         let stored = self.watch_cache.catalogue();
@@ -223,7 +227,7 @@
         });
     }
 
-    /// Removes deleted machines from the shard.
+    /// Completes a deletion and removes the machines from the shard.
     fn machines_deleted(&mut self, machines: &[String]) {
         let Some(shard) = &mut self.shard else {
             return;
--- a/src/controller/command_delivery.rs
+++ b/src/controller/command_delivery.rs
@@ -5,8 +5,8 @@
 
 /// After this time a delivery counts as unanswered. Longer than any call to a worker takes.
 const TIMEOUT_MS: Millis = 5_000;
-/// Minimum interval between deliveries, so that commands that become due close together are sent
-/// together.
+/// Minimum interval between two rounds of deliveries, so that commands that become due close
+/// together are sent together.
 const DELIVERY_INTERVAL_MS: Millis = 50;
 
 /// Direct commands in flight to one machine.
@@ -14,6 +14,7 @@
 pub(super) struct DirectCall {
     /// The machine's name. Its index may belong to another machine by the time of the reply.
     pub(super) machine: String,
+    /// The term under which the commands were sent.
     pub(super) term: u64,
     pub(super) sent_at: Millis,
 }
@@ -21,12 +22,14 @@
 /// The direct commands in flight and the time of the last delivery.
 #[derive(Debug, Default)]
 pub(super) struct CommandDelivery {
+    /// Keyed by call id.
     in_flight: BTreeMap<u64, DirectCall>,
+    /// When commands were last delivered.
     delivered_at: Millis,
 }
 
 impl CommandDelivery {
-    /// Returns whether a delivery is due, and if so marks it as done.
+    /// Returns whether a round of deliveries is due, and if so marks it as done.
     pub(super) fn take_due(&mut self, now: Millis) -> bool {
         let due = now >= self.delivered_at + DELIVERY_INTERVAL_MS;
         if due {
@@ -50,7 +53,7 @@
         self.in_flight.remove(&call)
     }
 
-    /// Returns the call ids that have had no reply within the timeout.
+    /// Returns the ids of the calls without a reply within the timeout.
     pub(super) fn expired(&self, now: Millis) -> Vec<u64> {
         let expired = self.in_flight.iter();
         let expired = expired.filter(|(_, direct_call)| now > direct_call.sent_at + TIMEOUT_MS);
--- a/src/controller/commits.rs
+++ b/src/controller/commits.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Whether the next transaction is due, none is in flight, and the rate limits of the state
-    /// service allow one.
+    /// Whether the next transaction is due and may be sent: none is in flight, no raise of the term
+    /// is pending, and the rate limits of the state service allow it.
     fn may_commit(&mut self) -> bool {
         let shard = self.shard.as_ref();
         let is_urgent = shard.is_some_and(|shard| shard.starts_wait());
@@ -42,7 +42,8 @@
         is_due && !is_in_flight && !self.term_raise.is_pending() && self.store_client.may_commit(self.now)
     }
 
-    /// Handles the reply to the transaction in flight, or its timeout.
+    /// Handles the reply to the transaction in flight, or its timeout. Unexpected replies cause a
+    /// reload of the shard.
     pub(super) fn on_commit_reply(&mut self, request: &StoreRequest, reply: StoreReply) {
         match reply {
             StoreReply::Committed { revision } => self.commit_applied(revision),
@@ -126,11 +127,13 @@
     }
 
     /// Handles a transaction that was certainly not applied, because of the keys in `failed`.
+    /// Users' requests change only the keys of jobs and of their ends; a conflict on any other key
+    /// means that the stored state is not the expected one.
     fn commit_refused(&mut self, failed: &[String]) {
         let (jobs, ends) = (self.keys.jobs(), self.keys.ends());
         let is_user_key = |key: &String| key.starts_with(&jobs) || key.starts_with(&ends);
         if failed.iter().all(is_user_key) {
-            tracing::debug!(?failed, "dropping a transaction of an ended job");
+            tracing::debug!(?failed, "a transaction conflicted with a user's write");
             self.commit_not_applied();
         } else {
             tracing::warn!(?failed, "a transaction conflicted");
--- a/src/controller/commits/evidence.rs
+++ b/src/controller/commits/evidence.rs
@@ -7,7 +7,7 @@
 /// A key whose current value and version show whether a transaction was applied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Evidence {
-    /// The key's name.
+    /// The name of the key to read.
     pub key: String,
     /// The version of the key that the transaction requires.
     pub(super) expected_version: u64,
@@ -18,8 +18,11 @@
 /// Whether a conflicting transaction was applied by an earlier copy, as far as the evidence shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CommitOutcome {
+    /// The transaction was applied at this revision, or at an unknown one if 0.
     Applied { revision: u64 },
+    /// The transaction was not applied.
     NotApplied,
+    /// The key shows neither the state before the transaction nor the one that it writes.
     Unknown,
 }
 
@@ -38,6 +41,8 @@
         evidence.max_by_key(|evidence| evidence.value.is_some())
     }
 
+    /// Returns the evidence that the key of this change provides, or `None` if the transaction does
+    /// not require a version of it.
     fn of_change(transaction: &Transaction, change: &Change) -> Option<Evidence> {
         let key = changed_key(change);
         let mut conditions = transaction.conditions.iter();
@@ -57,7 +62,8 @@
         match (reply, &self.value) {
             (StoreReply::Found { version, .. }, _) if *version == self.expected_version => CommitOutcome::NotApplied,
             (StoreReply::Missing, Some(_)) if self.expected_version == 0 => CommitOutcome::NotApplied,
-            // Only the leader deletes this key. The revision is not needed, since nothing was put.
+            // Only the leader deletes this key. A put would have been selected as the evidence if
+            // there were one, so no version of a key has to be recorded.
             (StoreReply::Missing, None) => CommitOutcome::Applied { revision: 0 },
             (StoreReply::Found { value, version }, Some(written)) if value == written => {
                 CommitOutcome::Applied { revision: *version }
--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -91,7 +91,7 @@
 }
 
 /// Guards against a full reload under a new term for each unanswered transaction
-/// (late-leaders of bks-mealkit-host-hunt).
+/// (simulated in `days/late-leaders-bks.toml`).
 #[test]
 fn unanswered_transaction_that_was_applied_counts_as_committed() {
     let (mut controller, second) = leader_with_unanswered_transaction();
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -25,8 +25,9 @@
 }
 
 impl Controller {
-    /// The largest number of direct commands in flight at once: half of the combined capacity of
-    /// all reachable peers, so that a single peer can take more than its even share.
+    /// The largest number of machines with direct commands in flight at once: the combined capacity
+    /// of half of the reachable peers, rounded up, and at least that of one controller. Half, so
+    /// that a single peer can take more than its even share.
     fn max_deliveries(&self) -> usize {
         self.connections.in_flight * self.peers.reachable_peer_count(self.now).div_ceil(2).max(1)
     }
@@ -139,8 +140,9 @@
         }
         if matches!(reply, WorkerReply::Unanswered | WorkerReply::NotDelivered) {
             machine.delivery.not_before = now + RETRY_MS;
-            // Retry once, since the route may have failed rather than the machine. After that
-            // the machine either reports or becomes silent, so further retries are not urgent.
+            // Retry once by another route, since the route may have failed rather than the machine.
+            // After that the machine either reports or becomes silent, so further retries are not
+            // urgent. A machine that has not yet been heard from in this term is always retried.
             let is_first_failure = !std::mem::replace(&mut machine.has_unanswered_command, true);
             if is_first_failure || machine.heard_at.is_none() {
                 machine.relayed_by = None;
@@ -172,7 +174,8 @@
         all_due
     }
 
-    /// Returns the commands that are due for a machine and marks them as in flight.
+    /// Returns the commands that are due for a machine and marks them as in flight. The list of
+    /// commands may be empty for a machine that has not responded: its reply contains a report.
     fn due_commands_of(&mut self, now: Millis, ix: MachineIx) -> Option<DueCommands> {
         let Some(machine) = self.workers.machines.get(ix).filter(|machine| !machine.decommissioned) else {
             self.workers.delivery_due.remove(&ix);
--- a/src/controller/forwarded_requests.rs
+++ b/src/controller/forwarded_requests.rs
@@ -2,9 +2,10 @@
 
 use std::collections::BTreeMap;
 
-/// Old entries are removed only when there are more than this.
+/// Old entries are removed only when there are more entries than this.
 const MAX_TRACKED_REQUESTS: usize = 2_000;
-/// The number of most recent ids that are kept when old entries are removed.
+/// The number of most recent ids whose entries are kept when old entries are removed. Relayed
+/// worker reports use ids of the same sequence.
 const RETAINED_IDS: u64 = 1_000;
 
 /// The ids of the admission requests that wait for a reply, keyed by the id of the forwarded
--- a/src/controller/id_sequence.rs
+++ b/src/controller/id_sequence.rs
@@ -8,7 +8,8 @@
 
 impl IdSequence {
     /// Starts a sequence far from those of other incarnations, since a peer may still answer
-    /// requests of an earlier incarnation of this process.
+    /// requests of an earlier incarnation of this process. `incarnation` is expected to be
+    /// random, and is halved so that the sequence cannot overflow.
     pub(super) fn for_incarnation(incarnation: u64) -> IdSequence {
         IdSequence { last: incarnation >> 1 }
     }
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -12,13 +12,15 @@
 /// The largest number of jobs in one task counts message, so that it stays well below the frame
 /// size limit.
 const MAX_TASK_COUNTS: usize = 20_000;
-/// Delay before claiming again after resigning, so that other controllers can claim first.
+/// Delay before claiming again after resigning because of isolation, so that other controllers can
+/// claim first.
 const RESIGNED_CLAIM_DELAY_MS: Millis = 6_000;
 /// Delay before claiming again after a worker reported a higher fencing token.
 const OUTRANKED_CLAIM_DELAY_MS: Millis = 1_000;
 
 impl Controller {
-    /// Performs the leader's work that is due, or resigns if the leader is isolated.
+    /// Performs the leader's work that is due, or resigns if the leader is isolated. Aborts loading
+    /// if it has stalled.
     pub(super) fn advance_leader(&mut self) {
         if !self.leads() || self.shard.is_none() {
             self.abort_stalled_loading();
@@ -82,7 +84,8 @@
         }
     }
 
-    /// Merges a worker report. Returns `None` if this controller is not the acting leader.
+    /// Merges a worker report into the shard. Returns `None` if this controller is not the acting
+    /// leader. Steps down if the worker has seen a higher fencing token.
     pub(super) fn merge_worker_report(&mut self, report: &Report, path: ReportPath) -> Option<MergeOutcome> {
         let now = self.now;
         if !self.election.is_acting_leader(now) {
@@ -101,7 +104,8 @@
                 }
             }
             MergeOutcome::HigherFencingToken => {
-                // Another controller claimed the shard later, even if our lease still looks valid.
+                // Another controller claimed the shard later, even if this controller's lease still
+                // looks valid.
                 tracing::warn!(
                     fencing_token = report.fencing_token,
                     term = self.election.term(),
--- a/src/controller/leader_timers.rs
+++ b/src/controller/leader_timers.rs
@@ -11,7 +11,7 @@
 /// After this long without acting (because of an outage of the state service or a stalled
 /// process) the silence of machines is measured from the time the leader acts again.
 const INACTIVITY_TIMEOUT_MS: Millis = 1_500;
-/// A leader that has heard neither a controller nor a worker for this long resigns, so that
+/// A leader that has heard from neither a controller nor a worker for this long resigns, so that
 /// another controller can take over.
 const ISOLATION_TIMEOUT_MS: Millis = 4_000;
 
@@ -32,17 +32,18 @@
         self.claimed_at = now;
     }
 
-    /// Records that a worker was heard. Also called when loading starts, to restart the isolation
-    /// timeout.
+    /// Records that a worker was heard from. Also called when loading starts, to restart the
+    /// isolation timeout.
     pub(super) fn note_worker_contact(&mut self, now: Millis) {
         self.worker_contact_at = now;
     }
 
-    /// Whether neither a controller nor a worker has been heard within the isolation timeout.
-    /// `peer_heard_at` is the time of the last heartbeat of any other controller.
-    pub(super) fn is_isolated(&self, now: Millis, peer_heard_at: Millis) -> bool {
+    /// Whether neither a controller nor a worker has been heard from within the isolation timeout,
+    /// counted from the last claim at the earliest. `peer_heartbeat_at` is the time of the last
+    /// heartbeat of any other controller.
+    pub(super) fn is_isolated(&self, now: Millis, peer_heartbeat_at: Millis) -> bool {
         now > self.claimed_at + ISOLATION_TIMEOUT_MS
-            && now > peer_heard_at + ISOLATION_TIMEOUT_MS
+            && now > peer_heartbeat_at + ISOLATION_TIMEOUT_MS
             && now > self.worker_contact_at + ISOLATION_TIMEOUT_MS
     }
 
@@ -64,7 +65,7 @@
         take_due(&mut self.task_counts_sent_at, now, TASK_COUNTS_INTERVAL_MS)
     }
 
-    /// Whether changes that no work or user waits for should be written now.
+    /// Whether changes that no work or user waits for are due to be written.
     pub(super) fn is_commit_due(&self, now: Millis) -> bool {
         now >= self.commit_attempted_at + BACKGROUND_COMMIT_INTERVAL_MS
     }
@@ -75,9 +76,9 @@
     }
 }
 
-/// Returns whether `every` milliseconds have passed since `last_at`, and if so sets it to `now`.
-fn take_due(last_at: &mut Millis, now: Millis, every: Millis) -> bool {
-    let due = now >= *last_at + every;
+/// Returns whether `interval_ms` have passed since `last_at`, and if so sets it to `now`.
+fn take_due(last_at: &mut Millis, now: Millis, interval_ms: Millis) -> bool {
+    let due = now >= *last_at + interval_ms;
     if due {
         *last_at = now;
     }
--- a/src/controller/lease_extension.rs
+++ b/src/controller/lease_extension.rs
@@ -26,9 +26,9 @@
 
     /// Handles an extension request of a leader that cannot reach the state service.
     ///
-    /// Grants the extension if this controller cannot reach the state service either and its
-    /// watch cache is complete. The grant lists the cancelled jobs that the leader may not know
-    /// of.
+    /// Grants the extension if this controller is a follower, cannot reach the state service either
+    /// and has a complete watch cache. The grant lists the cancelled jobs that the leader may not
+    /// know of.
     pub(super) fn on_extension_request(&mut self, node: String, term: u64, requested_at: Millis, watch_revision: u64) {
         if !self.store_client.is_failing() || !self.watch_cache.is_complete() {
             return;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -77,7 +77,9 @@
     policy: Policy,
     keys: Keys,
     connections: ConnectionLimits,
+    /// The time of the current step on the monotonic clock.
     now: Millis,
+    /// The time of the current step on the wall clock.
     wall_clock: Millis,
     /// The outputs of the current step.
     outputs: Vec<Output>,
@@ -90,12 +92,16 @@
     election: LeaderElection,
     peers: PeerLinks,
     admission: Admission,
+    /// The cloud's catalogue of machine types, `None` until it has been read from the cloud or the
+    /// state service.
     catalogue: Option<Catalogue>,
     watch_cache: WatchCache,
     watch_state: WatchState,
     store_client: StoreClient,
 
     // State that only the leader uses.
+    /// The state of the shard, present from the commit of the claim until this controller steps
+    /// down.
     shard: Option<Shard>,
     leader_timers: LeaderTimers,
     load_progress: LoadProgress,
@@ -172,10 +178,12 @@
         self.election.is_acting_leader(self.now)
     }
 
+    /// Returns a new id for a request to the state service, the cloud or a worker.
     fn next_call_id(&mut self) -> u64 {
         self.call_ids.next()
     }
 
+    /// Performs the work that depends only on elapsed time.
     fn on_tick(&mut self) {
         self.send_heartbeat();
         self.request_lease_extension();
@@ -197,6 +205,7 @@
         self.send_queued();
     }
 
+    /// Sends the lease request that the election requires now, if any.
     fn advance_election(&mut self) {
         let connectivity = if self.peers.has_no_peers() || self.peers.any_peer_reachable(self.now) {
             Connectivity::Connected
--- a/src/controller/peer_messages.rs
+++ b/src/controller/peer_messages.rs
@@ -46,6 +46,7 @@
         }
     }
 
+    /// Handles a user's request that another controller forwarded.
     fn on_forwarded_request(&mut self, node: String, shard: &str, id: u64, user_request: UserRequest) {
         if shard != SHARD {
             let answer = service_unavailable("another shard");
@@ -60,6 +61,7 @@
         self.apply_effects(effects);
     }
 
+    /// Handles another controller's answer to a request that this controller forwarded.
     fn on_forward_reply(&mut self, node: &str, id: u64, answer: Answer) {
         if let Some(admission_request_id) = self.forwarded_requests.take(id) {
             let effects = self.with_admission(|admission, context| {
--- a/src/controller/redirects.rs
+++ b/src/controller/redirects.rs
@@ -11,6 +11,7 @@
 /// How often workers that were redirected long ago are removed.
 const PRUNE_INTERVAL_MS: Millis = 10_000;
 
+/// The last redirect of a worker, and its exemption from further ones.
 #[derive(Clone, Copy, Debug)]
 struct RedirectedWorker {
     redirected_at: Millis,
--- a/src/controller/report_relay.rs
+++ b/src/controller/report_relay.rs
@@ -11,6 +11,7 @@
 /// batched, since a frame costs the leader more than most of its contents.
 const FLUSH_INTERVAL_MS: Millis = 100;
 
+/// A report whose worker waits for the leader's reply.
 #[derive(Debug)]
 struct WaitingReport {
     /// The number of the worker's request, which the answer must carry.
@@ -23,6 +24,7 @@
 pub(super) struct ReportRelay {
     /// Keyed by the id under which each report is relayed.
     waiting: BTreeMap<u64, WaitingReport>,
+    /// Reports to relay with the next flush.
     unsent: Vec<RelayedReport>,
     flushed_at: Millis,
 }
--- a/src/controller/requests.rs
+++ b/src/controller/requests.rs
@@ -68,6 +68,7 @@
         });
     }
 
+    /// Forwards a user's request to the controller `node`.
     fn forward(&mut self, admission_request_id: u64, node: String, user_request: UserRequest) {
         let id = self.peer_request_ids.next();
         self.forwarded_requests.add(id, admission_request_id);
@@ -122,10 +123,11 @@
 
     /// Answers a health check.
     ///
-    /// A controller without the state service is unhealthy if another controller can reach it, or
-    /// if too few controllers are reachable to know: users of a partitioned controller would get
-    /// no answers. During an outage that all controllers share it stays healthy, since answers
-    /// from the watch cache are better for users than refusals.
+    /// A controller that cannot reach the state service is unhealthy if another controller can
+    /// reach the service, or if too few controllers are reachable to know: users of a partitioned
+    /// controller would get no answers. During an outage that affects all controllers it stays
+    /// healthy as long as its watch cache is complete, since answers from the watch cache are
+    /// better for users than refusals.
     pub(super) fn on_health_check(&mut self, request: u64) {
         let shared_outage =
             self.peers.has_reachable_majority(self.now) && self.peers.first_with_store_access(self.now).is_none();
--- a/src/controller/store_calls.rs
+++ b/src/controller/store_calls.rs
@@ -4,7 +4,7 @@
 use crate::Millis;
 use crate::store::{StoreReply, StoreRequest};
 
-/// Delay before an unanswered request is sent again.
+/// Delay before a failed or unanswered request is sent again.
 pub(super) const RETRY_MS: Millis = 200;
 /// Delay before a request that exceeded the service's rate limit is sent again.
 const THROTTLED_RETRY_MS: Millis = 250;
@@ -32,7 +32,7 @@
     }
 
     /// Handles a reply of the state service. A throttled request is sent again later, except for a
-    /// lease renewal.
+    /// lease renewal, which the election schedules again.
     pub(super) fn on_store_reply(&mut self, call: u64, reply: StoreReply) {
         let Some(answered) = self.store_client.take_answered(self.now, call, &reply) else {
             return;
--- a/src/controller/store_client.rs
+++ b/src/controller/store_client.rs
@@ -11,20 +11,21 @@
 use std::collections::{BTreeMap, VecDeque};
 use store_rates::RateShares;
 
-/// The maximum length of the queue, as the number of seconds it takes to send it at the service's
-/// full request rate.
-/// Users would give up before any requests beyond that were sent.
+/// The maximum length of the queue, as the number of seconds that sending it takes at the service's
+/// full request rate. Users would give up before requests beyond that were sent.
 const MAX_QUEUE_S: f64 = 3.0;
 /// The state service counts as reachable for this long after its last answer.
 const REACHABLE_MS: Millis = 3_000;
 
+/// A request that has not been sent yet.
 struct QueuedRequest {
     purpose: Purpose,
     request: StoreRequest,
+    /// The earliest time at which it may be sent.
     not_before: Millis,
 }
 
-/// A request together with its purpose.
+/// A request that has left the queue, with its purpose.
 pub(super) struct TrackedRequest {
     pub(super) purpose: Purpose,
     pub(super) request: StoreRequest,
@@ -42,6 +43,7 @@
 /// Queues requests to the state service and sends them within the rate limits.
 pub(super) struct StoreClient {
     queue: VecDeque<QueuedRequest>,
+    /// Keyed by call id.
     in_flight: BTreeMap<u64, TrackedRequest>,
     request_bucket: TokenBucket,
     write_bucket: TokenBucket,
@@ -54,6 +56,7 @@
     service_write_rps: f64,
     /// The number of controllers, including this one.
     controller_count: f64,
+    /// When the service last answered. A throttled request does not count as answered.
     last_answer_at: Option<Millis>,
     /// When the service last was unavailable or gave no answer.
     last_failure_at: Option<Millis>,
@@ -91,8 +94,8 @@
         self.queue.len()
     }
 
-    /// This controller's shares of the service's rates in the given phase. What remains is
-    /// reserved for leases and claims.
+    /// This controller's shares of the service's rates: a follower's share, or the leader's shares
+    /// in all other phases. What remains is reserved for leases and claims.
     pub(super) fn rate_shares(&self, phase: Phase) -> RateShares {
         if phase == Phase::Follower {
             store_rates::FOLLOWERS.divided_by(self.controller_count)
@@ -137,6 +140,7 @@
         is_ready.then_some(budget)
     }
 
+    /// Sends a request under a new call id and charges it to the rate limits.
     fn send(
         &mut self,
         queued: QueuedRequest,
--- a/src/controller/store_purpose.rs
+++ b/src/controller/store_purpose.rs
@@ -8,7 +8,7 @@
 /// The purpose of a request to the state service.
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
-    /// Requests a lease under which to claim the shard.
+    /// Requests a lease for a claim on the shard.
     GrantLease,
     /// Claims the shard, or raises the term of an existing claim.
     Claim {
@@ -17,7 +17,7 @@
     },
     /// Renews the lease of the claim.
     RenewLease { sent_at: Millis },
-    /// Reads the claim after a conflict, to see whether it is our own.
+    /// Reads the claim after a conflict, to see whether this controller made it.
     CheckClaim,
     /// Reads a page of all watched keys, to fill the watch cache.
     ReadWatchCache,
@@ -41,7 +41,7 @@
     UserWrite(u64),
     /// Stores the cloud's catalogue.
     WriteCatalogue,
-    /// Deletes this controller's own claim.
+    /// Deletes this controller's claim.
     Resign,
 }
 
--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -30,7 +30,7 @@
             return;
         }
         if matches!(reply, StoreReply::Page(_) | StoreReply::WatchLog(_)) {
-            self.load_progress.answered(self.now);
+            self.load_progress.reply_received(self.now);
         }
         if stage == LoadStage::WatchCache && self.load_jobs(&reply) {
             self.load_page(LoadStage::TaskChunks, String::new());
@@ -42,6 +42,8 @@
         }
     }
 
+    /// Sends a failed request again after a delay. A watch starts at the watch cache's current
+    /// revision, which may have changed.
     fn retry_load(&mut self, stage: LoadStage, request: &StoreRequest) {
         let request = match stage {
             LoadStage::WatchCache => self.watch_request(0),
@@ -50,6 +52,7 @@
         self.enqueue_after(RETRY_MS, Purpose::Load(stage), request);
     }
 
+    /// Loads the entries of a page, then requests the next page or the next stage.
     fn on_loaded_page(&mut self, stage: LoadStage, page: &Page) {
         if self.shard.is_none() {
             return;
@@ -133,7 +136,7 @@
             term = self.election.term(),
             jobs = shard.jobs.table.len(),
             machines = shard.workers.machines.len(),
-            took_ms = self.load_progress.took_ms(self.now),
+            took_ms = self.load_progress.elapsed_ms(self.now),
             "took over the shard"
         );
         self.election.activate();
--- a/src/controller/term_raise.rs
+++ b/src/controller/term_raise.rs
@@ -10,7 +10,7 @@
 pub(super) struct TermRaise {
     /// The shard's state may be wrong: claim again under a higher term and reload everything.
     is_reload_requested: bool,
-    /// A raise is being prepared or is in flight. Nothing that depends on the present claim may be
+    /// A raise is being prepared or is in flight. Nothing that depends on the current claim may be
     /// sent.
     is_pending: bool,
     raised_at: Millis,
@@ -33,7 +33,7 @@
         self.is_reload_requested
     }
 
-    /// Whether a raise is pending, so that nothing that depends on the present claim may be sent.
+    /// Whether a raise is pending, so that nothing that depends on the current claim may be sent.
     pub(super) fn is_pending(&self) -> bool {
         self.is_pending
     }
@@ -43,7 +43,7 @@
         now >= self.raised_at + MIN_RAISE_INTERVAL_MS
     }
 
-    /// Starts a raise. From now on nothing that depends on the present claim may be sent.
+    /// Starts a raise. From now on nothing that depends on the current claim may be sent.
     pub(super) fn begin(&mut self) {
         self.is_pending = true;
     }
--- a/src/controller/tests/job_end_answers.rs
+++ b/src/controller/tests/job_end_answers.rs
@@ -1,10 +1,11 @@
 //! Tests that no request is answered with an older state of a job after its end was reported.
 //!
 //! Seen in `meetings` with seed 146: a poll of a job waited for its confirming read, whose reply
-//! took 320 ms to arrive and was as old as its execution. Meanwhile a cancellation of the job was
-//! forwarded to the leader, committed and answered through the same controller, which did not
-//! remember the end. Its watch cache learns of an end up to 150 ms later, so the poll was answered
-//! "running" 76 ms after the cancellation was answered "aborted", which broke the rule `went_back`.
+//! took 320 ms to arrive and showed the state at the time of its execution. Meanwhile a
+//! cancellation of the job was forwarded to the leader, committed and answered through the same
+//! controller, which did not remember the end. Its watch cache receives an end up to 150 ms later,
+//! so the poll was answered "running" 76 ms after the cancellation was answered "aborted", which
+//! broke the rule `went_back`.
 
 use super::*;
 
@@ -200,7 +201,8 @@
 }
 
 /// A repeated cancellation may reach a controller that did not confirm the first one, either while
-/// the job's key still exists or after it was deleted. In both cases the answer waits for the peers.
+/// the job's key still exists or after it was deleted. In both cases the answer waits for the
+/// peers.
 #[test]
 fn cancellation_confirmed_elsewhere_also_waits_for_peers() {
     let mut ended = cancelled_job();
--- a/src/controller/watch_state.rs
+++ b/src/controller/watch_state.rs
@@ -31,7 +31,9 @@
 /// The state of the requests that fill the watch cache and keep it up to date.
 #[derive(Debug, Default)]
 pub(super) struct WatchState {
+    /// The full read of the watched keys.
     read: PacedRequest,
+    /// The request that waits for changes.
     watch: PacedRequest,
     refresh_sent_at: Millis,
 }
@@ -57,7 +59,8 @@
         self.watch.take_due(now)
     }
 
-    /// Records that the watch ended. The next one is due at `not_before` at the earliest.
+    /// Records that the watch was answered or failed. The next one is due at `not_before` at the
+    /// earliest.
     pub(super) fn watch_answered(&mut self, not_before: Millis) {
         self.watch.pause_until(not_before);
     }
--- a/src/controller/watching.rs
+++ b/src/controller/watching.rs
@@ -72,8 +72,8 @@
         self.watch_state.watch_answered(self.now + pause);
     }
 
-    /// Handles the reply to the refresh that was sent at `sent_at`. User requests may wait for it if
-    /// it is a confirming read of admission.
+    /// Handles the reply to the refresh that was sent at `sent_at`. User requests may wait for it
+    /// if it is a confirming read of admission.
     pub(super) fn on_refreshed(&mut self, admission_read: Option<u64>, sent_at: Millis, reply: StoreReply) {
         let is_up_to_date = self.apply_watch_log(reply);
         if is_up_to_date {
@@ -126,6 +126,7 @@
         }
     }
 
+    /// Passes the changes in the watch cache on to the parts of the controller that they concern.
     fn on_watched_changes(&mut self, changes: Vec<WatchedChange>) {
         for change in changes {
             match change {
@@ -142,7 +143,7 @@
         let value = self.watch_cache.catalogue().cloned();
         match value.map(serde_json::from_value::<Catalogue>) {
             Some(Ok(catalogue)) => self.set_catalogue(catalogue),
-            Some(Err(error)) => tracing::error!(%error, "the stored catalogue can't be read"),
+            Some(Err(error)) => tracing::error!(%error, "cannot parse the stored catalogue"),
             None => {}
         }
     }
@@ -156,7 +157,8 @@
         self.placement_rounds.request();
     }
 
-    /// Passes a changed job from the watch cache on to the shard.
+    /// Passes a changed job from the watch cache on to the shard, if this controller has loaded or
+    /// is loading it.
     pub(super) fn job_changed(&mut self, id: &str) {
         if let (Some(shard), Some((key, version))) = (&mut self.shard, self.watch_cache.jobs().get(id)) {
             shard.job_changed(self.now, id, key, *version);
@@ -164,6 +166,7 @@
         }
     }
 
+    /// Handles the removal of a job's key.
     fn job_removed(&mut self, id: String) {
         self.peers.forget_task_counts(&id);
         if let Some(shard) = &mut self.shard {
--- a/src/controller/worker_reports.rs
+++ b/src/controller/worker_reports.rs
@@ -9,7 +9,9 @@
 const BATCH_SIZE: usize = 64;
 
 impl Controller {
-    /// Handles a report that a worker sent to this controller.
+    /// Handles a report that a worker sent to this controller: answers it as the leader, relays it
+    /// to the leader, or sends the worker to another controller if there is no known leader or too
+    /// many workers wait already.
     pub(super) fn on_report(&mut self, request: u64, report: Report) {
         if self.election.holds_claim() {
             let reply = self.answer_local_report(&report);
@@ -42,6 +44,7 @@
             .map_or(ReportReply::Redirected(None), ReportReply::Accepted)
     }
 
+    /// Answers the worker's request with this number.
     fn answer_worker(&mut self, request: u64, reply: ReportReply) {
         let answer = report_answer(reply);
         self.outputs.push(Output::Answer { request, answer });
@@ -95,6 +98,8 @@
         }
     }
 
+    /// Relays the collected reports to the leader, or redirects their workers if no leader is
+    /// known.
     fn flush_reports(&mut self) {
         let reports = self.report_relay.take_unsent();
         if reports.is_empty() {
@@ -133,6 +138,7 @@
     })
 }
 
+/// Converts the leader's reply into the HTTP answer for the worker.
 fn report_answer(reply: ReportReply) -> Answer {
     let (status, body) = match reply {
         ReportReply::Accepted(answer) => (200, serde_json::to_string(&answer)),
