--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use sumacbend::store::{StoreReply, StoreRequest};
-use sumacbend::wire::{Change, Entry, Event, Log, Page, Transaction};
+use sumacbend::wire::{Change, Entry, Page, Transaction, WatchEvent, WatchLog};
 
 /// The contents of the state service: keys, leases and the log of changes.
 #[derive(Default)]
@@ -12,7 +12,7 @@
     /// The number of the last change.
     pub revision: u64,
     /// All changes so far, oldest first.
-    log: Vec<Event>,
+    log: Vec<WatchEvent>,
     /// Time to live and expiry time of each lease, in milliseconds.
     leases: BTreeMap<u64, (u64, u64)>,
     /// The id of the lease granted last.
@@ -57,7 +57,7 @@
 
     fn delete(&mut self, key: &str) {
         if self.entries.remove(key).is_some() {
-            self.log.push(Event {
+            self.log.push(WatchEvent {
                 put: None,
                 delete: Some(key.into()),
                 value: serde_json::Value::Null,
@@ -89,7 +89,7 @@
                     *until = now + *ttl;
                     StoreReply::Renewed
                 }
-                None => StoreReply::LeaseGone,
+                None => StoreReply::LeaseExpired,
             },
             StoreRequest::Watch { prefix, since, .. } => self.changes_since(prefix, *since),
         }
@@ -131,7 +131,7 @@
             let key = event.put.as_ref().or(event.delete.as_ref());
             key.is_some_and(|key| key.starts_with(prefix))
         });
-        StoreReply::Log(Log {
+        StoreReply::WatchLog(WatchLog {
             revision: self.revision,
             events: events.cloned().collect(),
         })
@@ -157,7 +157,7 @@
                     "a value is longer than 16 KiB"
                 );
                 if lease.is_some_and(|lease| !self.leases.contains_key(&lease)) {
-                    return StoreReply::LeaseGone;
+                    return StoreReply::LeaseExpired;
                 }
             }
         }
@@ -182,7 +182,7 @@
             match change {
                 Change::Put { put, value, lease } => {
                     self.entries.insert(put.clone(), (value.clone(), self.revision, *lease));
-                    self.log.push(Event {
+                    self.log.push(WatchEvent {
                         put: Some(put.clone()),
                         delete: None,
                         value: value.clone(),
