--- a/src/placement/opening.rs
+++ b/src/placement/opening.rs
@@ -10,7 +10,7 @@
 
 impl PlacementContext<'_> {
     /// Opens an attempt of a task on a machine. The attempt starts once its chunk is written to
-    /// the store. Returns that chunk, or `None` if the job or the machine is not known.
+    /// the state service. Returns that chunk, or `None` if the job or the machine is not known.
     pub fn open_attempt(&mut self, job_ix: JobIx, task: u32, machine_ix: MachineIx) -> Option<ChunkId> {
         let job = self.jobs.table.get_mut(job_ix)?;
         let machine = self.workers.machines.get_mut(machine_ix)?;
@@ -47,7 +47,7 @@
     job.last_start_ms = wall_clock;
     if job.waiting_tasks() == 0 {
         job.shortage_since = None;
-        job.waiting_until = None;
+        job.cache_wait_until = None;
     }
 }
 
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -13,8 +13,8 @@
 /// The most attempts that one round plans, which bounds the duration of a round.
 const MAX_STARTS: usize = 200;
 
-/// Plans attempts for tasks that may start. Returns the chunks that have to be written
-/// to the store before these attempts start.
+/// Plans attempts for tasks that may start. Returns the chunks that have to be written to the
+/// state service before these attempts start.
 pub fn place(context: PlacementContext<'_>) -> Vec<ChunkId> {
     Round::new(context).run()
 }
@@ -216,8 +216,8 @@
     }
 
     /// Whether a start command of this term went unanswered and may still reach the
-    /// machine. The machine is then not told to forget ended attempts, so it keeps listing
-    /// them until the term is raised.
+    /// machine. The machine is then sent no commands to forget ended attempts, so it keeps
+    /// listing them until the term is raised.
     fn has_unconfirmed_start(&self, machine: MachineIx) -> bool {
         let machine = self.context.workers.machines.get(machine);
         machine.is_some_and(|machine| machine.has_unconfirmed_start_of(self.context.term))
@@ -241,7 +241,7 @@
     /// Lets the job's tasks wait for a machine that has their image cached.
     fn wait(&mut self, job_ix: JobIx, until: Millis) {
         if let Some(job) = self.context.jobs.table.get_mut(job_ix) {
-            job.waiting_until = Some(until);
+            job.cache_wait_until = Some(until);
         }
     }
 
