--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,7 +1,7 @@
 //! The rules of the protocol under seeded faults: real controllers against a simulated
 //! cluster. Every run uses the same seeds.
 
-mod fleet_at_size;
+mod large_fleet;
 mod meetings;
 mod mistaken_jobs_and_backfill;
 mod rule_checks;
