--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,5 +1,8 @@
-//! The rules of the protocol under seeded faults: real controllers against a simulated
-//! cluster. Every run uses the same seeds.
+//! Tests that the rules of the protocol hold under faults. Real controllers run against the
+//! simulated cluster of the module `world`.
+//!
+//! All faults and random choices come from seeds, which are fixed by default, so that each run of
+//! the tests is the same.
 
 mod large_fleet;
 mod meetings;
@@ -14,35 +17,43 @@
 use rand::rngs::StdRng;
 use world::{Fault, KnownState, World};
 
-/// Whoever leads the shard when the fault begins.
+/// A controller index that is out of range, which stands for the leader at the time of the fault.
 const LEADER: usize = 9;
 
-fn check(seed: u64, faults: Vec<(u64, Fault)>) {
-    check_with(seed, 3, faults);
+/// Runs three controllers with the given faults, each with its time in milliseconds.
+fn run_with_faults(seed: u64, faults: Vec<(u64, Fault)>) {
+    run_nodes_with_faults(seed, 3, faults);
 }
 
-fn check_with(seed: u64, nodes: usize, faults: Vec<(u64, Fault)>) {
+/// Runs `nodes` controllers and 24 random jobs with the given faults.
+fn run_nodes_with_faults(seed: u64, nodes: usize, faults: Vec<(u64, Fault)>) {
     run_to_completion(World::new(seed, nodes, 24, faults.clone()), seed, &faults);
 }
 
-/// To the end of all faults and well beyond: no rule broken, no job left over.
+/// Runs until well after the end of all faults. Asserts that no rule is broken, that every job is
+/// done or cancelled, and that tasks were started.
 fn run_to_completion(mut world: World, seed: u64, faults: &[(u64, Fault)]) -> World {
     world.run(world.faults_end_at.max(100_000) + 200_000 * world.run_time_factor.min(3));
-    // A broken rule ends the run: what had not begun by then would be called late.
+    // Asserted before the largest jobs are checked: a violation ends the run early, and jobs that
+    // had not started by then would be reported as late as well.
     assert_no_violations(&world, seed, faults);
     world.check_largest_jobs();
     assert_no_violations(&world, seed, faults);
-    let open: Vec<_> = world
+    let unfinished: Vec<_> = world
         .jobs
         .iter()
         .filter(|job| !matches!(job.known_state, KnownState::Done | KnownState::Cancelled))
         .collect();
-    let open: Vec<_> = open.iter().map(|job| (&job.spec.id, job.known_state)).collect();
-    assert!(open.is_empty(), "seed {seed}: never finished {open:?}\n{faults:#?}");
+    let unfinished: Vec<_> = unfinished.iter().map(|job| (&job.spec.id, job.known_state)).collect();
+    assert!(
+        unfinished.is_empty(),
+        "seed {seed}: never finished {unfinished:?}\n{faults:#?}"
+    );
     assert!(world.starts > 0);
     world
 }
 
+/// Asserts that no rule was broken.
 fn assert_no_violations(world: &World, seed: u64, faults: &[(u64, Fault)]) {
     assert!(
         world.violations.is_empty(),
@@ -51,6 +62,7 @@
     );
 }
 
+/// Draws a fault; one that affects a controller affects the leader in half of the cases.
 fn draw_fault(rng: &mut StdRng, nodes: usize) -> Fault {
     let node = if rng.random_bool(0.5) {
         LEADER
