--- a/tests/rules/meetings/cancellations.rs
+++ b/tests/rules/meetings/cancellations.rs
@@ -1,15 +1,15 @@
-//! Users cancel, repeat requests or send invalid ones while other faults happen.
+//! Users cancel jobs, repeat requests or send invalid ones during other faults.
 
-use super::{pick, run_meeting};
+use super::{pick, run_concurrent_faults};
 use crate::LEADER;
 use crate::world::{CANCEL_DEADLINE_MS, Fault, LEASE_MS};
 use rand::Rng;
 
-/// A leader keeps only its workers and users while jobs are cancelled through
-/// the new one.
+/// The leader can't reach the state service and the other controllers, but still reaches workers
+/// and users, while jobs are cancelled through the new leader. Their tasks must stop in time.
 #[test]
-fn a_leader_cut_from_all_but_workers_and_users_while_jobs_are_cancelled() {
-    run_meeting(10, |rng| {
+fn cancelled_jobs_stop_when_the_old_leader_reaches_only_workers_and_users() {
+    run_concurrent_faults(10, |rng| {
         let at = rng.random_range(35_000..60_000);
         let ms = pick(rng, &[6_000, LEASE_MS, CANCEL_DEADLINE_MS + 20_000]);
         let mut faults = vec![(at, Fault::CutFromAllButWorkers { node: LEADER, ms })];
@@ -22,10 +22,10 @@
     });
 }
 
-/// A cancellation, a question or a repeat meets the end of a job's last task.
+/// Cancellations, polls and repeated submissions arrive when the last task of a job ends.
 #[test]
-fn cancellations_and_repeats_meet_the_end_of_a_job() {
-    run_meeting(1, |_| {
+fn cancellations_and_repeated_requests_at_the_end_of_a_job() {
+    run_concurrent_faults(1, |_| {
         vec![
             (5_000, Fault::CancelAtEnd { ms: 150_000 }),
             (5_000, Fault::InvalidRequests { ms: 150_000 }),
@@ -33,11 +33,11 @@
     });
 }
 
-/// Jobs that can't run or lack a field are turned away, whoever is asked and
-/// whatever else goes on.
+/// Every controller refuses jobs that can't run or lack a field, also while leaders crash and the
+/// state service refuses a controller or applies transactions late.
 #[test]
-fn odd_requests_in_mid_election() {
-    run_meeting(2, |rng| {
+fn invalid_requests_are_refused_during_elections() {
+    run_concurrent_faults(2, |rng| {
         let mut faults = vec![
             (3_000, Fault::InvalidRequests { ms: 120_000 }),
             (20_000, Fault::DelayedTransactions { ms: 80_000 }),
@@ -56,11 +56,11 @@
     });
 }
 
-/// The leader renews its lease and answers workers, but its reads are lost, so
-/// that it hears of no cancellation: its workers' leases must not live on.
+/// The leader renews its lease and answers workers, but its reads are lost, so it learns of no
+/// cancellation. It must stop renewing the leases of its workers.
 #[test]
-fn a_leader_whose_reads_are_lost_while_jobs_are_cancelled() {
-    let played = run_meeting(15, |rng| {
+fn cancelled_jobs_stop_when_the_reads_of_the_leader_are_lost() {
+    let worlds = run_concurrent_faults(15, |rng| {
         let at = rng.random_range(30_000..50_000);
         let ms = CANCEL_DEADLINE_MS + rng.random_range(10_000..30_000);
         vec![
@@ -77,8 +77,9 @@
             ),
         ]
     });
-    // The watch cache's age, the lease of the claim, a take-over, a round of reports.
-    let longest = played.iter().map(|world| world.longest_run_after_cancel_ms).max();
+    // The bound is the maximum age of the watch cache (5 s), the lease of the claim (4 s), a
+    // takeover (2 s) and one round of heartbeat reports (4 s).
+    let longest = worlds.iter().map(|world| world.longest_run_after_cancel_ms).max();
     assert!(
         longest.is_some_and(|ms| ms > 0 && ms < 5_000 + 4_000 + 2_000 + 4_000),
         "{longest:?}"
--- a/tests/rules/meetings/leader_changes.rs
+++ b/tests/rules/meetings/leader_changes.rs
@@ -1,13 +1,15 @@
-//! The leader ends, is cut off or hands over, again and again.
+//! The leader crashes, restarts or is cut off repeatedly, during other faults.
 
-use super::{Faults, pick, run_meeting, run_meeting_with_seeds};
+use super::{Faults, pick, run_concurrent_faults, run_concurrent_faults_with_seeds};
 use crate::LEADER;
 use crate::world::{Fault, LEASE_MS};
 use rand::Rng;
 
+/// The leader crashes, restarts or loses its connection to the state service ten times. Meanwhile
+/// the state service applies transactions late and is unavailable twice.
 #[test]
-fn leaders_change_ten_times_in_two_minutes_also_in_an_outage() {
-    run_meeting(2, |rng| {
+fn leader_changes_ten_times_in_two_minutes_with_store_outages() {
+    run_concurrent_faults(2, |rng| {
         let mut faults: Faults = (0..10)
             .map(|step| {
                 let at = 20_000 + step * 12_000 + rng.random_range(0..4_000);
@@ -31,10 +33,11 @@
     });
 }
 
-/// Jobs of two or three tasks whose ends lie far apart, over changes of leader.
+/// Jobs of few tasks end, or are cancelled as they end, while leaders crash and late copies of
+/// reports arrive. The run times are long, so that the tasks of a job end far apart.
 #[test]
-fn small_jobs_that_end_over_a_change_of_leader() {
-    run_meeting(8, |rng| {
+fn small_jobs_end_during_leader_changes() {
+    run_concurrent_faults(8, |rng| {
         let mut faults: Faults = (0..5)
             .map(|step| {
                 (
@@ -49,9 +52,11 @@
     });
 }
 
+/// All controllers are down for longer than a worker's lease, right after cancellations and during
+/// late transactions, and are down again for a while soon after their restart.
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
-    run_meeting(8, |rng| {
+fn all_controllers_are_down_for_longer_than_a_worker_lease() {
+    run_concurrent_faults(8, |rng| {
         let at = rng.random_range(30_000..60_000);
         let ms = LEASE_MS + rng.random_range(1_000..15_000);
         vec![
@@ -74,11 +79,11 @@
     });
 }
 
-/// Reports arrive after newer ones, from earlier agent epochs and attempts, also
-/// held back until a new leader has acted, and then there.
+/// Reports of earlier agent epochs and attempts arrive after newer ones, some of them only after a
+/// new leader has started to act.
 #[test]
-fn old_reports_reach_a_new_leader() {
-    run_meeting(4, |rng| {
+fn stale_reports_reach_a_new_leader() {
+    run_concurrent_faults(4, |rng| {
         let mut faults = vec![(10_000, Fault::DelayedDuplicateReports { ms: 120_000 })];
         for step in 0..6 {
             let at = 25_000 + step * 15_000 + rng.random_range(0..5_000);
@@ -92,10 +97,12 @@
     });
 }
 
-/// Controllers hand over and back, all end, and one returns at once.
+/// Leadership changes through two quick restarts, then all controllers go down, and controller 0
+/// restarts quickly during that time or just after it. Transactions are applied late meanwhile.
+/// With seed 46, a team exceeded its limit.
 #[test]
-fn controllers_hand_over_and_back_and_all_end() {
-    run_meeting_with_seeds(&[46], 6, |rng| {
+fn leadership_moves_back_and_forth_before_all_controllers_go_down() {
+    run_concurrent_faults_with_seeds(&[46], 6, |rng| {
         let mut faults = Vec::new();
         for step in 0..5 {
             let at = 25_000 + step * 20_000 + rng.random_range(0..5_000);
@@ -117,11 +124,11 @@
     });
 }
 
-/// A team at its limit, a change of leader, machines that can't be asked, and a
-/// cancellation in that spell.
+/// The leader crashes while a team is at its CPU limit and some machines are unreachable. Meanwhile
+/// jobs are cancelled, a zone is cut off and the next leader crashes.
 #[test]
-fn a_team_at_its_limit_when_the_leader_changes() {
-    run_meeting(10, |rng| {
+fn a_team_stays_within_its_limit_when_the_leader_changes() {
+    run_concurrent_faults(10, |rng| {
         let at = rng.random_range(30_000..60_000);
         let ms = rng.random_range(5_000..2 * LEASE_MS);
         vec![
--- a/tests/rules/meetings/mod.rs
+++ b/tests/rules/meetings/mod.rs
@@ -1,6 +1,7 @@
-//! Concurrent faults ("meetings"): several faults that overlap, each combination that the
-//! operators name, run against the simulated cluster. A few seeds run by default;
-//! `MEETING_SEEDS=0..400 cargo test --release --test rules meetings` runs more.
+//! Tests of concurrent faults ("meetings"): every combination that the operators have named.
+//!
+//! A few seeds run by default; `MEETING_SEEDS=0..400 cargo test --release --test rules meetings`
+//! runs the seeds from 0 to 399.
 
 mod cancellations;
 mod leader_changes;
@@ -13,23 +14,32 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
+/// Faults, each with the time in milliseconds at which it is injected.
 type Faults = Vec<(u64, Fault)>;
 
-/// Runs the faults that are drawn from each seed, with 3 to 7 controllers and tasks up to
-/// `run_time_factor` times as long as usual.
-fn run_meeting(run_time_factor: u64, faults: impl Fn(&mut StdRng) -> Faults) -> Vec<World> {
-    run_meeting_with_seeds(&[], run_time_factor, faults)
+/// Runs the faults that `faults` draws from the generator of each seed, and returns the clusters
+/// after their runs.
+///
+/// There are 3, 5 or 7 controllers. With even seeds, tasks run `run_time_factor` times as long as
+/// usual.
+fn run_concurrent_faults(run_time_factor: u64, faults: impl Fn(&mut StdRng) -> Faults) -> Vec<World> {
+    run_concurrent_faults_with_seeds(&[], run_time_factor, faults)
 }
 
-/// Also with the seeds that once found a defect.
-fn run_meeting_with_seeds(found: &[u64], run_time_factor: u64, faults: impl Fn(&mut StdRng) -> Faults) -> Vec<World> {
-    let played = seeds(found).into_iter();
-    played
-        .map(|seed| run_meeting_of_seed(seed, run_time_factor, &faults))
+/// Like [`run_concurrent_faults`], with additional seeds that have exposed a defect.
+fn run_concurrent_faults_with_seeds(
+    regression_seeds: &[u64],
+    run_time_factor: u64,
+    faults: impl Fn(&mut StdRng) -> Faults,
+) -> Vec<World> {
+    let seeds = seeds(regression_seeds).into_iter();
+    seeds
+        .map(|seed| run_concurrent_faults_of_seed(seed, run_time_factor, &faults))
         .collect()
 }
 
-fn run_meeting_of_seed(seed: u64, run_time_factor: u64, faults: impl Fn(&mut StdRng) -> Faults) -> World {
+/// Runs the faults that `faults` draws from the generator of one seed.
+fn run_concurrent_faults_of_seed(seed: u64, run_time_factor: u64, faults: impl Fn(&mut StdRng) -> Faults) -> World {
     let mut rng = StdRng::seed_from_u64(7_000 + seed);
     let faults = faults(&mut rng);
     let nodes = [3, 5, 7][seed as usize % 3];
@@ -38,16 +48,18 @@
     run_to_completion(world, seed, &faults)
 }
 
-/// `MEETING_SEEDS=FROM..TO`, or a few and those given.
-fn seeds(found: &[u64]) -> Vec<u64> {
-    let given = std::env::var("MEETING_SEEDS").unwrap_or_default();
-    let bounds = given.split_once("..").map(|(from, to)| (from.parse(), to.parse()));
+/// Returns the seeds from FROM up to but excluding TO if the environment variable `MEETING_SEEDS`
+/// is `FROM..TO`, and otherwise the seeds 0 to 5 and `regression_seeds`.
+fn seeds(regression_seeds: &[u64]) -> Vec<u64> {
+    let range = std::env::var("MEETING_SEEDS").unwrap_or_default();
+    let bounds = range.split_once("..").map(|(from, to)| (from.parse(), to.parse()));
     match bounds {
         Some((Ok(from), Ok(to))) => (from..to).collect(),
-        _ => (0..6).chain(found.iter().copied()).collect(),
+        _ => (0..6).chain(regression_seeds.iter().copied()).collect(),
     }
 }
 
-fn pick(rng: &mut StdRng, of: &[u64]) -> u64 {
-    of[rng.random_range(0..of.len())]
+/// Draws one of the values.
+fn pick(rng: &mut StdRng, values: &[u64]) -> u64 {
+    values[rng.random_range(0..values.len())]
 }
--- a/tests/rules/meetings/random_faults.rs
+++ b/tests/rules/meetings/random_faults.rs
@@ -1,24 +1,26 @@
-//! Combinations of faults drawn at random from all that can be simulated.
+//! Random combinations of all faults that the cluster can simulate.
 
-use super::run_meeting_with_seeds;
+use super::run_concurrent_faults_with_seeds;
 use crate::world::Fault;
 use crate::{LEADER, draw_fault};
 use rand::Rng;
 use rand::rngs::StdRng;
 
-/// Anything with anything, from all faults that can be injected.
+/// Four to thirteen random faults begin at random times. With seed 216, a machine whose lease had
+/// expired stayed idle forever.
 #[test]
-fn drawn_meetings() {
-    run_meeting_with_seeds(&[216], 4, |rng| {
+fn random_concurrent_faults_break_no_rule() {
+    run_concurrent_faults_with_seeds(&[216], 4, |rng| {
         let count = rng.random_range(4..14);
-        let mut drawn = Vec::new();
+        let mut faults = Vec::new();
         for _ in 0..count {
-            drawn.push((rng.random_range(5_000..110_000), draw_any_fault(rng)));
+            faults.push((rng.random_range(5_000..110_000), draw_any_fault(rng)));
         }
-        drawn
+        faults
     });
 }
 
+/// Draws any fault; one that affects a controller usually affects the leader.
 fn draw_any_fault(rng: &mut StdRng) -> Fault {
     let node = if rng.random_bool(0.6) {
         LEADER
--- a/tests/rules/meetings/state_service_outages.rs
+++ b/tests/rules/meetings/state_service_outages.rs
@@ -1,25 +1,26 @@
-//! The state service refuses requests, is slow, or is out, while other faults happen.
+//! The state service refuses requests, is slow or is unavailable, during other faults.
 
-use super::{pick, run_meeting, seeds};
+use super::{pick, run_concurrent_faults, seeds};
 use crate::LEADER;
 use crate::world::{CANCEL_DEADLINE_MS, Fault, LEASE_MS, World};
 use rand::Rng;
 
-/// The state service refuses the leader alone, jobs are cancelled through
-/// another controller, and it is out for all: for less than a lease, between a
-/// lease and `cancel_s`, and longer. The refusal ends before, in and after the
-/// outage; machines of the cancelled jobs hang or can't be reached; the old
-/// leader, another or a restarted one leads the shard afterwards.
+/// Tasks of cancelled jobs must stop although the leader could not learn of the cancellations.
+///
+/// The state service refuses only the leader, jobs are cancelled through another controller, and
+/// then an outage begins. It lasts less than a worker's lease, between the lease and `cancel_s`, or
+/// longer. The refusal ends before, during or after the outage. Machines of the cancelled jobs hang
+/// or are unreachable. Afterwards the old leader, another controller or a restarted one leads.
 #[test]
-fn cancelled_jobs_stop_when_the_store_refuses_the_leader_and_then_is_out() {
-    run_meeting(12, |rng| {
+fn cancelled_jobs_stop_when_the_store_refuses_the_leader_before_an_outage() {
+    run_concurrent_faults(12, |rng| {
         let at = rng.random_range(40_000..60_000);
-        let outage = pick(
+        let outage_ms = pick(
             rng,
             &[8_000, LEASE_MS - 3_000, LEASE_MS + 8_000, CANCEL_DEADLINE_MS + 12_000],
         );
-        let starts = at + rng.random_range(300..3_000);
-        let refused_ms = pick(rng, &[1_000, outage / 2, outage + 1_000, outage + 12_000]);
+        let outage_at = at + rng.random_range(300..3_000);
+        let refused_ms = pick(rng, &[1_000, outage_ms / 2, outage_ms + 1_000, outage_ms + 12_000]);
         let mut faults = vec![
             (
                 at,
@@ -29,33 +30,33 @@
                 },
             ),
             (
-                at + rng.random_range(0..starts - at),
+                at + rng.random_range(0..outage_at - at),
                 Fault::CancelRunningJobs {
                     hang_ms: pick(rng, &[0, 0, 12_000, LEASE_MS]),
                 },
             ),
-            (starts, Fault::StoreOutage { ms: outage }),
+            (outage_at, Fault::StoreOutage { ms: outage_ms }),
         ];
         match rng.random_range(0..5) {
-            0 => faults.push((at, Fault::MachineCut { ms: outage })),
-            1 => faults.push((at, Fault::ZoneCut { ms: outage })),
-            2 => faults.push((starts + outage - 500, Fault::QuickRestart { node: LEADER })),
-            3 => faults.extend((0..3).map(|node| (starts + 2_000, Fault::Crash { node }))),
+            0 => faults.push((at, Fault::MachineCut { ms: outage_ms })),
+            1 => faults.push((at, Fault::ZoneCut { ms: outage_ms })),
+            2 => faults.push((outage_at + outage_ms - 500, Fault::QuickRestart { node: LEADER })),
+            3 => faults.extend((0..3).map(|node| (outage_at + 2_000, Fault::Crash { node }))),
             _ => {}
         }
         faults
     });
 }
 
-/// The gap again and again, each outage shorter than a lease: nothing may keep
-/// the workers' leases alive while their leader does not see the cancellation.
+/// Refusals of the leader and outages alternate, each outage shorter than a worker's lease. No
+/// sequence of them may keep the workers' leases alive while the leader can't see a cancellation.
 #[test]
-fn refusals_and_short_outages_in_turn() {
-    run_meeting(12, |rng| {
+fn cancelled_jobs_stop_under_alternating_refusals_and_short_outages() {
+    run_concurrent_faults(12, |rng| {
         let mut faults = Vec::new();
         let mut at = 40_000;
         for _ in 0..4 {
-            let outage = rng.random_range(8_000..LEASE_MS - 2_000);
+            let outage_ms = rng.random_range(8_000..LEASE_MS - 2_000);
             let refused_ms = rng.random_range(800..4_000);
             faults.push((
                 at,
@@ -70,18 +71,18 @@
                     hang_ms: pick(rng, &[0, 10_000]),
                 },
             ));
-            faults.push((at + rng.random_range(400..1_500), Fault::StoreOutage { ms: outage }));
-            at += outage + rng.random_range(1_500..5_000);
+            faults.push((at + rng.random_range(400..1_500), Fault::StoreOutage { ms: outage_ms }));
+            at += outage_ms + rng.random_range(1_500..5_000);
         }
         faults
     });
 }
 
-/// The state service answers slowly, or refuses the leader alone and then
-/// everybody, while users cancel and ask.
+/// Users cancel and poll jobs while the state service is slow, refuses only the leader, and then is
+/// unavailable to all controllers.
 #[test]
-fn a_slow_state_service_while_users_cancel() {
-    run_meeting(10, |rng| {
+fn cancelled_jobs_stop_when_the_store_is_slow_before_an_outage() {
+    run_concurrent_faults(10, |rng| {
         let at = rng.random_range(30_000..50_000);
         vec![
             (at, Fault::StoreSlow { ms: 40_000 }),
@@ -110,10 +111,10 @@
     });
 }
 
-/// Transactions are carried out late, after newer ones of the same controller.
+/// Transactions are applied late, after newer ones of the same controller.
 #[test]
-fn transactions_are_carried_out_late() {
-    run_meeting(3, |rng| {
+fn transactions_are_applied_late() {
+    run_concurrent_faults(3, |rng| {
         let mut faults = vec![(5_000, Fault::DelayedTransactions { ms: 120_000 })];
         for _ in 0..4 {
             let node = LEADER;
@@ -132,29 +133,30 @@
     });
 }
 
-/// An outage of the state service for all, longer than the workers' leases: as
-/// all controllers know of each other that none can claim, what runs goes on.
+/// Guards against stopping all tasks in an outage of the state service that lasts longer than the
+/// workers' leases. No controller can claim the shard in such an outage, so the others grant the
+/// leader extensions of its lease, and running tasks continue.
 #[test]
-fn what_runs_goes_on_through_a_long_outage() {
+fn running_tasks_continue_through_a_long_outage() {
     for seed in seeds(&[]) {
-        let outage = vec![(45_000, Fault::StoreOutage { ms: 60_000 })];
-        let mut world = World::new(seed, 5, 24, outage);
+        let faults = vec![(45_000, Fault::StoreOutage { ms: 60_000 })];
+        let mut world = World::new(seed, 5, 24, faults);
         world.run_time_factor = 12;
-        // Past what was being stopped for others when it began.
+        // Excludes tasks that were already being stopped for other jobs when the outage began.
         world.run(49_000);
-        let before = world.lost_tasks;
+        let lost_before = world.lost_tasks;
         world.run(104_500);
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
-        let lost = world.lost_tasks - before;
+        let lost = world.lost_tasks - lost_before;
         assert!(lost <= 2, "seed {seed}: {lost} tasks lost");
     }
 }
 
-/// Nothing may be kept alive on promises where one controller can't give them:
-/// it might be the one that confirms cancellations.
+/// A leader must stop if a single controller does not grant the extension of its lease: that
+/// controller might be the one that confirms cancellations.
 #[test]
-fn a_leader_without_all_promises_stops() {
-    run_meeting(12, |rng| {
+fn a_leader_without_every_extension_grant_stops() {
+    run_concurrent_faults(12, |rng| {
         let at = rng.random_range(40_000..55_000);
         let ms = CANCEL_DEADLINE_MS + rng.random_range(5_000..20_000);
         let other = rng.random_range(0..3);
--- a/tests/rules/meetings/unreachable_machines.rs
+++ b/tests/rules/meetings/unreachable_machines.rs
@@ -1,14 +1,16 @@
-//! Machines hang, fail, are preempted or cannot be reached while other faults happen.
+//! Machines hang, fail tasks, are reclaimed or are unreachable, during other faults.
 
-use super::{Faults, run_meeting, run_meeting_of_seed, seeds};
+use super::{Faults, run_concurrent_faults, run_concurrent_faults_of_seed, seeds};
 use crate::world::{Fault, LEASE_MS, World};
 use crate::{LEADER, run_to_completion};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
+/// The machines of one zone and one controller are isolated while jobs are cancelled, and a leader
+/// crashes or the state service becomes unavailable.
 #[test]
-fn a_zone_is_cut_off_with_workers_and_a_controller() {
-    run_meeting(8, |rng| {
+fn a_zone_is_isolated_with_its_machines_and_a_controller() {
+    run_concurrent_faults(8, |rng| {
         let at = rng.random_range(30_000..60_000);
         let ms = rng.random_range(LEASE_MS / 2..3 * LEASE_MS);
         let mut faults = vec![
@@ -24,11 +26,11 @@
     });
 }
 
-/// A leader ends while machines with long tasks can't be reached, or don't hear
-/// the new leader's answer.
+/// The leader crashes while machines with long tasks are unreachable, hang, or don't receive the
+/// answers of the new leader.
 #[test]
-fn a_leader_ends_while_machines_do_not_hear() {
-    run_meeting(12, |rng| {
+fn the_leader_crashes_while_machines_are_unreachable() {
+    run_concurrent_faults(12, |rng| {
         let at = rng.random_range(40_000..60_000);
         let mut faults = Vec::new();
         for _ in 0..6 {
@@ -50,18 +52,20 @@
     });
 }
 
-/// A command or its answer is held up for seconds, across a hang.
+/// Direct commands or their answers are delayed for seconds while machines hang and resume.
 #[test]
-fn commands_are_held_up_and_the_machine_goes_on() {
-    run_meeting(6, delayed_commands_and_hangs);
+fn commands_are_delayed_while_machines_hang() {
+    run_concurrent_faults(6, delayed_commands_and_hangs);
 }
 
-/// Found by a wider run of seeds, on earlier versions as well: see KNOWN-RED.txt.
+/// Guards against a poll that is answered "running" after the cancellation of the job was reported,
+/// which broke the rule `went_back` in a run of more seeds (see KNOWN-RED.txt).
 #[test]
-fn a_job_told_as_cancelled_stays_so_while_commands_are_held_up() {
-    run_meeting_of_seed(146, 6, delayed_commands_and_hangs);
+fn a_job_reported_as_cancelled_stays_cancelled_while_commands_are_delayed() {
+    run_concurrent_faults_of_seed(146, 6, delayed_commands_and_hangs);
 }
 
+/// Direct commands are delayed while machines hang, jobs are cancelled and leaders crash.
 fn delayed_commands_and_hangs(rng: &mut StdRng) -> Faults {
     let mut faults = vec![(20_000, Fault::DelayedCommands { ms: 90_000 })];
     for step in 0..8 {
@@ -78,11 +82,11 @@
     faults
 }
 
-/// Workers reach no controller while direct commands reach them: their leases
-/// expiry although they answer.
+/// Machines reach no controller while direct commands reach them. Their leases expire although
+/// they answer the commands.
 #[test]
-fn machines_that_reach_no_controller_but_take_commands() {
-    run_meeting(10, |rng| {
+fn machines_reach_no_controller_but_receive_commands() {
+    run_concurrent_faults(10, |rng| {
         let mut faults = Vec::new();
         for _ in 0..8 {
             let ms = rng.random_range(3_000..3 * LEASE_MS);
@@ -100,9 +104,10 @@
     });
 }
 
-/// Jobs bound to one zone, arrays too, lose machines.
+/// Array jobs that are limited to a zone or spread over zones lose machines. With seed 199, a job
+/// waited forever beside an idle machine.
 #[test]
-fn jobs_bound_to_a_zone_lose_machines() {
+fn jobs_with_zone_constraints_lose_machines() {
     for seed in seeds(&[199]) {
         let mut rng = StdRng::seed_from_u64(8_000 + seed);
         let mut faults: Faults = (0..8)
@@ -137,20 +142,22 @@
     }
 }
 
-/// Machines fail everything for a while and are well again: the jobs that failed
-/// on all that fit them must not keep off them for ever.
+/// All machines fail every task for a while and then recover. Jobs that failed on every machine
+/// that fits them must not avoid these machines forever.
 #[test]
-fn all_machines_are_sick_for_a_while() {
-    run_meeting(2, all_machines_fail_and_the_leader_ends);
+fn all_machines_fail_tasks_for_a_while() {
+    run_concurrent_faults(2, all_machines_fail_and_the_leader_crashes);
 }
 
-/// Found by a wider run of seeds, on earlier versions as well: see KNOWN-RED.txt.
+/// Guards against a job that starved beside idle machines in a run of more seeds (see
+/// KNOWN-RED.txt).
 #[test]
-fn no_job_waits_beside_room_after_all_machines_were_sick() {
-    run_meeting_of_seed(193, 2, all_machines_fail_and_the_leader_ends);
+fn no_job_starves_after_all_machines_failed_tasks() {
+    run_concurrent_faults_of_seed(193, 2, all_machines_fail_and_the_leader_crashes);
 }
 
-fn all_machines_fail_and_the_leader_ends(rng: &mut StdRng) -> Faults {
+/// All machines fail every task for 5 to 30 s, and the leader crashes meanwhile or afterwards.
+fn all_machines_fail_and_the_leader_crashes(rng: &mut StdRng) -> Faults {
     let at = rng.random_range(20_000..50_000);
     vec![
         (
