--- a/tests/rules/rule_checks.rs
+++ b/tests/rules/rule_checks.rs
@@ -1,10 +1,10 @@
-//! The checks themselves: each reports a fault that is put in on purpose.
+//! Tests that the checks of the simulated cluster report each violation of a rule.
 
 use crate::run_to_completion;
 use crate::world::{CANCEL_DEADLINE_MS, KnownState, RequestKind, World};
 
-/// A world without controllers in which one job is known to its user.
-fn accepted(tasks: u32) -> World {
+/// Returns a cluster without controllers, with one machine in each zone and one accepted job.
+fn world_with_accepted_job(tasks: u32) -> World {
     let mut world = World::new(1, 0, 0, Vec::new());
     let mut spec = World::plain_spec();
     spec.tasks = tasks;
@@ -15,13 +15,14 @@
     world
 }
 
+/// Whether a violation of the rule has been reported.
 fn violates(world: &World, rule: &str) -> bool {
-    world.violations.iter().any(|fault| fault.starts_with(rule))
+    world.violations.iter().any(|violation| violation.starts_with(rule))
 }
 
 #[test]
 fn a_task_on_two_machines_is_reported() {
-    let mut world = accepted(1);
+    let mut world = world_with_accepted_job(1);
     world.start_task("host-0", "j-000000/0");
     assert!(world.violations.is_empty());
     world.start_task("host-1", "j-000000/0");
@@ -30,7 +31,7 @@
 
 #[test]
 fn a_team_beyond_its_limit_is_reported() {
-    let mut world = accepted(25);
+    let mut world = world_with_accepted_job(25);
     for task in 0..24 {
         world.start_task("host-0", &format!("j-000000/{task}"));
     }
@@ -41,7 +42,7 @@
 
 #[test]
 fn a_task_in_a_zone_that_its_job_does_not_allow_is_reported() {
-    let mut world = accepted(2);
+    let mut world = world_with_accepted_job(2);
     world.jobs[0].spec.one_zone = true;
     world.start_task("host-0", "j-000000/0");
     assert!(world.violations.is_empty());
@@ -49,11 +50,11 @@
     assert!(violates(&world, "wrong_place"));
 }
 
-/// Also while its machine hangs: it would go on.
+/// Also if the machine hangs, because the task would continue after the hang.
 #[test]
-fn a_cancelled_task_that_stays_is_reported() {
+fn a_task_that_stays_after_the_cancel_deadline_is_reported() {
     for hangs in [false, true] {
-        let mut world = accepted(1);
+        let mut world = world_with_accepted_job(1);
         world.start_task("host-0", "j-000000/0");
         if hangs {
             world.hang("host-0", 10 * CANCEL_DEADLINE_MS);
@@ -70,8 +71,8 @@
 }
 
 #[test]
-fn a_start_after_a_confirmed_cancellation_is_counted_and_a_late_one_reported() {
-    let mut world = accepted(2);
+fn a_start_after_a_cancellation_is_counted_and_after_the_deadline_reported() {
+    let mut world = world_with_accepted_job(2);
     world.set_known_state(0, KnownState::Cancelled);
     world.start_task("host-0", "j-000000/0");
     assert_eq!(world.starts_after_cancel, 1);
@@ -82,8 +83,8 @@
 }
 
 #[test]
-fn a_job_of_which_nothing_is_said_is_reported() {
-    let mut world = accepted(1);
+fn a_job_without_answers_is_reported() {
+    let mut world = world_with_accepted_job(1);
     world.now += 75_000;
     world.check_users_answered();
     assert!(world.violations.is_empty());
@@ -92,11 +93,11 @@
     assert!(violates(&world, "forgotten"));
 }
 
-/// Before faults are over: while most others are answered, and only then.
+/// Before all faults are over, a job without answers is reported only if most others get answers.
 #[test]
-fn a_job_that_alone_is_not_answered_is_reported() {
-    for alone in [true, false] {
-        let mut world = accepted(1);
+fn a_job_that_alone_gets_no_answers_is_reported() {
+    for others_answered in [true, false] {
+        let mut world = world_with_accepted_job(1);
         world.faults_end_at = u64::MAX / 2;
         for _ in 0..2 {
             let other = world.submit(0, World::plain_spec());
@@ -104,19 +105,19 @@
         }
         for _ in 0..92 {
             world.now += 1_000;
-            if alone {
+            if others_answered {
                 world.set_known_state(1, KnownState::Accepted);
                 world.set_known_state(2, KnownState::Accepted);
             }
             world.check_users_answered();
         }
-        assert_eq!(violates(&world, "forgotten"), alone, "{:?}", world.violations);
+        assert_eq!(violates(&world, "forgotten"), others_answered, "{:?}", world.violations);
     }
 }
 
 #[test]
-fn a_job_that_waits_beside_room_is_reported() {
-    let mut world = accepted(2);
+fn a_starving_job_is_reported() {
+    let mut world = world_with_accepted_job(2);
     world.now += 1_000;
     world.check_starvation();
     world.now += 90_000;
@@ -125,9 +126,9 @@
     world.now += 1;
     world.check_starvation();
     assert!(violates(&world, "waiting"));
-    // Not where the team is at its limit, or nothing fits.
+    // Not reported if the team is at its limit or no machine is suitable.
     for (cpus, zone) in [(25.0, None), (1.0, Some("east".to_string()))] {
-        let mut world = accepted(2);
+        let mut world = world_with_accepted_job(2);
         world.jobs[0].spec.cpus = cpus;
         world.jobs[0].spec.zone = zone;
         for _ in 0..3 {
@@ -139,39 +140,40 @@
 }
 
 #[test]
-fn a_largest_job_that_begins_late_is_reported() {
-    let mut world = accepted(9);
+fn a_largest_job_that_starts_late_is_reported() {
+    let mut world = world_with_accepted_job(9);
     world.check_largest_jobs();
     assert!(violates(&world, "late"));
-    let mut world = accepted(9);
+    let mut world = world_with_accepted_job(9);
     world.start_task("host-0", "j-000000/0");
     world.check_largest_jobs();
     assert!(world.violations.is_empty());
 }
 
-/// By a run to the end as well.
+/// A complete run checks the largest jobs as well.
 #[test]
 #[should_panic(expected = "late: j-000000")]
-fn a_run_reports_a_largest_job_that_never_begins() {
+fn a_run_reports_a_largest_job_that_never_starts() {
     let mut world = World::new(1, 3, 0, Vec::new());
     world.submit(10_000_000, World::plain_spec());
     run_to_completion(world, 1, &[]);
 }
 
-/// Guards against a second symptom that is none: a run ends at the first broken rule, and
-/// the largest jobs that had not begun by then were reported beside it as late (meetings, seed 146,
-/// where both begin in time if the run goes on).
+/// Guards against reporting a late job as a second violation. A run ends at the first violation,
+/// and the largest jobs that had not started by then were reported as late (`meetings`, seed 146,
+/// where both largest jobs start in time if the run continues).
 #[test]
-#[should_panic(expected = "seed 1: [\"went_back: put in on purpose\"]")]
-fn a_run_that_a_broken_rule_ended_reports_no_late_job() {
+#[should_panic(expected = "seed 1: [\"went_back: added by the test\"]")]
+fn a_run_ended_by_a_violation_reports_no_late_job() {
     let mut world = World::new(1, 3, 0, Vec::new());
     world.submit(10_000, World::plain_spec());
-    world.violations.push("went_back: put in on purpose".into());
+    world.violations.push("went_back: added by the test".into());
     run_to_completion(world, 1, &[]);
 }
 
-/// What controllers answer: a job that can't run taken, a job nobody submitted
-/// known, an end taken back, an end called too early, an accepted job denied.
+/// The wrong answers are, in order: an invalid job is accepted, a job that nobody submitted is
+/// known, a job is cancelled without a request, a job is done too early, and an accepted job is
+/// unknown or refused.
 #[test]
 fn wrong_answers_are_reported() {
     let state = |state: &str| format!("{{\"id\":\"j-000000\",\"standing\":\"{state}\"}}");
@@ -183,7 +185,7 @@
         (RequestKind::Poll, 404, String::new(), "forgotten"),
         (RequestKind::Submit, 422, String::new(), "forgotten"),
     ] {
-        let mut world = accepted(1);
+        let mut world = world_with_accepted_job(1);
         world.now += 10;
         world.deliver_user_answer(0, kind, status, &body);
         assert!(violates(&world, rule), "{rule}: {:?}", world.violations);
