--- a/tests/rules/scheduling.rs
+++ b/tests/rules/scheduling.rs
@@ -1,11 +1,11 @@
-//! The largest job that the protocol allows, and fairness among jobs of one team.
+//! Tests of the largest job that the protocol allows, and of fairness among the jobs of a team.
 
 use crate::LEADER;
 use crate::world::{Fault, KnownState, World};
 use sumacbend::wire::Priority;
 
-/// The simulated state service fails on values and transactions beyond the protocol's limits,
-/// so this shows that the largest job stays within them.
+/// The simulated state service fails on values and transactions that exceed the protocol's limits,
+/// so this test shows that the largest job stays within them.
 #[test]
 fn the_largest_job_is_scheduled_and_cleaned_up() {
     let mut world = World::new(6, 3, 1, vec![(120_000, Fault::Crash { node: LEADER })]);
@@ -28,10 +28,10 @@
     assert_eq!(world.count_stored_keys("kept/pool/end/"), 1);
 }
 
-/// Guards against work that the order by priority would put off for ever, and
-/// against small tasks that for ever fill up what a large one needs whole.
+/// Guards against low-priority jobs that are always placed after urgent ones, and against large
+/// tasks that never start because small tasks keep taking parts of the room they need.
 #[test]
-fn nobody_starves_under_a_steady_flow_of_small_urgent_jobs() {
+fn large_low_priority_jobs_do_not_starve_under_small_urgent_jobs() {
     let mut world = World::new(7, 3, 0, Vec::new());
     let spec = |team: &str, priority, tasks, cpus| {
         let mut spec = World::plain_spec();
@@ -41,28 +41,28 @@
         spec.cpus = cpus;
         spec
     };
-    // More urgent work than the limit of the team lets run, all the time.
+    // Continuously more urgent work than fits the team's limit.
     for at in (2_000..500_000).step_by(1_500) {
         world.submit(at, spec("red", Priority::High, 6, 1.0));
     }
-    let large: Vec<usize> = (0..4)
+    let large_jobs: Vec<usize> = (0..4)
         .map(|index| world.submit(10_000 + index * 30_000, spec("red", Priority::Low, 12, 8.0)))
         .collect();
     world.run(520_000);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
-    for index in large.iter().copied() {
+    for index in large_jobs.iter().copied() {
         let job = &world.jobs[index];
-        let begun = job.first_start.map(|at| at - job.submit_at);
+        let start_delay_ms = job.first_start.map(|at| at - job.submit_at);
         assert!(
-            begun.is_some_and(|after| after < 240_000),
-            "job {index} began after {begun:?} ms"
+            start_delay_ms.is_some_and(|delay_ms| delay_ms < 240_000),
+            "job {index} started after {start_delay_ms:?} ms"
         );
     }
-    let done = large
+    let done = large_jobs
         .iter()
         .filter(|&&index| world.jobs[index].known_state == KnownState::Done)
         .count();
-    assert!(done * 2 >= large.len(), "{done} of the large jobs done");
+    assert!(done * 2 >= large_jobs.len(), "{done} of the large jobs done");
     assert!(
         world
             .jobs
