--- a/tests/rules/mistaken_jobs_and_backfill.rs
+++ b/tests/rules/mistaken_jobs_and_backfill.rs
@@ -1,5 +1,5 @@
-//! What the operators' on-call staff met: backfill of a guest team beside urgent
-//! work, jobs submitted with a mistake, and machines that boot late or never.
+//! Tests of situations that the operators' on-call staff has met: backfill jobs of a guest team
+//! beside urgent jobs, misconfigured jobs, and machines that boot late or never.
 
 use crate::world::{Fault, KnownState, World};
 use crate::{LEADER, draw_fault, run_to_completion};
@@ -7,8 +7,8 @@
 use rand::{Rng, SeedableRng};
 use sumacbend::wire::{JobSpec, Priority};
 
-/// Low-priority work without an aim whose tasks save.
-fn backfill(tasks: u32) -> JobSpec {
+/// Returns a best-effort job of low priority whose tasks save checkpoints.
+fn backfill_spec(tasks: u32) -> JobSpec {
     JobSpec {
         class: "backfill".into(),
         team: "blue".into(),
@@ -22,7 +22,8 @@
     }
 }
 
-fn urgent(tasks: u32) -> JobSpec {
+/// Returns a job of high priority whose tasks are as large as those of [`backfill_spec`].
+fn urgent_spec(tasks: u32) -> JobSpec {
     JobSpec {
         tasks,
         cpus: 4.0,
@@ -30,10 +31,10 @@
     }
 }
 
-/// Guards against urgent work that waits for minutes beside idle work (inc-98dc,
-/// inc-a48c, inc-7b1f).
+/// Guards against urgent jobs that wait for minutes while best-effort jobs occupy the machines
+/// (inc-98dc, inc-a48c, inc-7b1f).
 #[test]
-fn urgent_jobs_begin_soon_beside_backfill_that_fills_all_machines() {
+fn urgent_jobs_start_soon_when_backfill_fills_all_machines() {
     for (seed, faults) in [
         (1, Vec::new()),
         (2, vec![(62_000, Fault::Crash { node: LEADER })]),
@@ -49,33 +50,33 @@
         ),
     ] {
         let mut world = World::new(seed, 3, 0, faults);
-        // Tasks run for up to five minutes, and each machine holds one or two.
+        // Tasks run for up to five minutes, and each machine has room for one or two.
         world.run_time_factor = 30;
         for _ in 0..3 {
-            world.submit(2_000, backfill(40));
+            world.submit(2_000, backfill_spec(40));
         }
         world.run(58_000);
         assert!(world.starts > 4, "seed {seed}: {} starts", world.starts);
-        let urgent: Vec<usize> = (0..4)
-            .map(|index| world.submit(60_000 + index * 500, urgent(1)))
+        let urgent_jobs: Vec<usize> = (0..4)
+            .map(|index| world.submit(60_000 + index * 500, urgent_spec(1)))
             .collect();
         world.run(100_000);
         assert!(world.violations.is_empty(), "seed {seed}: {:?}", world.violations);
-        for index in urgent {
+        for index in urgent_jobs {
             let job = &world.jobs[index];
-            let begun = job.first_start.map(|at| at - job.submit_at);
+            let start_delay_ms = job.first_start.map(|at| at - job.submit_at);
             assert!(
-                begun.is_some_and(|after| after < 20_000),
-                "seed {seed}: job {index} began after {begun:?} ms"
+                start_delay_ms.is_some_and(|delay_ms| delay_ms < 20_000),
+                "seed {seed}: job {index} started after {start_delay_ms:?} ms"
             );
         }
     }
 }
 
-/// Guards against mistaken jobs that take machines, room and writes from others: the
-/// machines on which they fail are not given up, and the others' jobs get done.
+/// Guards against misconfigured jobs that cost others machines, room and writes: the machines on which
+/// they fail are kept, and the other jobs finish.
 #[test]
-fn mistaken_jobs_fail_alone_until_their_users_cancel_them() {
+fn misconfigured_jobs_do_not_affect_other_jobs_and_machines() {
     for (seed, faults) in [
         (4, Vec::new()),
         (5, vec![(30_000, Fault::Crash { node: LEADER })]),
@@ -87,7 +88,7 @@
         let mut world = World::new(seed, 3, 24, faults.clone());
         let spec = |team: &str, tasks| JobSpec {
             team: team.into(),
-            ..urgent(tasks)
+            ..urgent_spec(tasks)
         };
         for index in 0..10 {
             let team = if index % 2 == 0 { "red" } else { "blue" };
@@ -100,7 +101,7 @@
             .filter(|job| job.known_state == KnownState::Cancelled)
             .count();
         assert!(cancelled >= 10, "seed {seed}: {cancelled} cancelled");
-        // Alone and ever more rarely: ten jobs of eight tasks for 85 s.
+        // Ten jobs of eight tasks fail for 85 s, one task at a time and with growing delays.
         assert!(
             world.always_failing_starts < 400,
             "seed {seed}: {} failures",
@@ -111,9 +112,9 @@
     }
 }
 
-/// Late and failed boots, mistaken jobs and backfill beside any other faults.
+/// Slow and failed boots, misconfigured jobs and backfill jobs combined with random faults.
 #[test]
-fn random_faults_with_slow_boots_mistaken_jobs_and_backfill() {
+fn random_faults_with_slow_boots_misconfigured_jobs_and_backfill() {
     for seed in 0..30 {
         let mut rng = StdRng::seed_from_u64(7_000 + seed);
         let nodes = [3, 5, 7][seed as usize % 3];
@@ -129,11 +130,11 @@
         let mut world = World::new(seed, nodes, 16, faults.clone());
         for _ in 0..rng.random_range(0..5) {
             let at = rng.random_range(2_000..60_000);
-            world.submit_always_failing(at, at + rng.random_range(1_000..80_000), urgent(6));
+            world.submit_always_failing(at, at + rng.random_range(1_000..80_000), urgent_spec(6));
         }
         for _ in 0..rng.random_range(0..3) {
             let at = rng.random_range(2_000..60_000);
-            world.submit(at, backfill(6));
+            world.submit(at, backfill_spec(6));
         }
         run_to_completion(world, seed, &faults);
     }
