--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -6,7 +6,7 @@
 
 mod large_fleet;
 mod meetings;
-mod mistaken_jobs_and_backfill;
+mod misconfigured_jobs_and_backfill;
 mod rule_checks;
 mod scheduling;
 mod single_faults;
