--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -20,12 +20,13 @@
 /// A controller index that is out of range, which stands for the leader at the time of the fault.
 const LEADER: usize = 9;
 
-/// Runs three controllers with the given faults, each with its time in milliseconds.
+/// Runs three controllers and 24 random jobs with the given faults, each with the time in
+/// milliseconds at which it is injected.
 fn run_with_faults(seed: u64, faults: Vec<(u64, Fault)>) {
     run_nodes_with_faults(seed, 3, faults);
 }
 
-/// Runs `nodes` controllers and 24 random jobs with the given faults.
+/// Like [`run_with_faults`], with `nodes` controllers.
 fn run_nodes_with_faults(seed: u64, nodes: usize, faults: Vec<(u64, Fault)>) {
     run_to_completion(World::new(seed, nodes, 24, faults.clone()), seed, &faults);
 }
