--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -3,8 +3,8 @@
 use crate::{Millis, Now};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Initial value of the monotonic clock. It is well above 0, so that times long before the
-/// start of the process can be represented.
+/// Value of the monotonic clock at the start of the process. It is well above 0, so that times
+/// before the start can be represented.
 const MONOTONIC_START_MS: Millis = 1_000_000;
 
 /// Reads the monotonic clock and the wall clock.
--- a/src/runtime/event.rs
+++ b/src/runtime/event.rs
@@ -5,7 +5,7 @@
 use crate::wire::Report;
 use tokio::sync::oneshot;
 
-/// An event for the event loop, sent by the HTTP server, a peer link or a service call.
+/// An event for the event loop, sent by the HTTP endpoint, a peer link or a service call.
 pub enum Event {
     /// A request from a user.
     UserRequest {
--- a/src/runtime/event_loop.rs
+++ b/src/runtime/event_loop.rs
@@ -14,7 +14,7 @@
 /// The queue of outgoing messages for each peer, by node name.
 pub type PeerQueues = HashMap<String, mpsc::Sender<Message>>;
 
-/// The event queues, in descending order of priority.
+/// The receiving ends of the event queues, in descending order of priority.
 ///
 /// The state service comes first, then workers and peers, and users last: a leader that
 /// falls behind must not lose its lease because of reports, nor its workers because of
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Returns the controller's input for an event. Registers the request if it needs an answer.
     fn input_from_event(&mut self, event: Event) -> Input {
         match event {
             Event::UserRequest { user_request, reply } => Input::User {
--- a/src/runtime/event_loop_monitor.rs
+++ b/src/runtime/event_loop_monitor.rs
@@ -11,7 +11,7 @@
 
 /// Interval between two ticks of an event loop that keeps up.
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// A tick that is delayed by more than this means that the event loop is behind.
+/// Maximum delay of a tick. After a longer delay, the event loop is considered behind.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(100);
 
 /// Records when the event loop last ticked.
--- a/src/runtime/http_client/idle_connections.rs
+++ b/src/runtime/http_client/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Idle connections, kept for the next request to the same address.
+//! A pool of idle connections, kept for later requests to the same addresses.
 
 use super::Connection;
 use std::collections::HashMap;
@@ -7,7 +7,8 @@
 /// Maximum number of idle connections to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 8;
 
-/// The idle connections to all addresses, with an upper bound on their number.
+/// The idle connections to all addresses, limited to `max` in total. Only connections to a
+/// single address may exceed that, up to [`MAX_IDLE_PER_ADDRESS`].
 pub(super) struct IdleConnections {
     /// The idle connections by address. An address without any is removed.
     pub(super) by_address: HashMap<SocketAddr, Vec<Connection>>,
@@ -25,7 +26,8 @@
         }
     }
 
-    /// Takes a connection to the address that is ready for a request, most recently kept first.
+    /// Takes the most recently kept connection to the address that is ready for a request, and
+    /// drops those that were kept later but are not ready.
     pub(super) fn take(&mut self, address: SocketAddr) -> Option<Connection> {
         let connections = self.by_address.get_mut(&address)?;
         let mut ready = None;
@@ -42,8 +44,8 @@
         ready
     }
 
-    /// Keeps a connection, unless there are enough to its address. At the maximum in total,
-    /// drops those to another address first.
+    /// Keeps a connection unless [`MAX_IDLE_PER_ADDRESS`] connections to its address are kept
+    /// already. If the total is at its maximum, drops the connections to another address first.
     pub(super) fn keep(&mut self, address: SocketAddr, connection: Connection) {
         if self.count >= self.max {
             self.drop_another_address(address);
@@ -55,8 +57,8 @@
         }
     }
 
-    /// Drops the connections to any other address. Which one does not matter, because
-    /// connections that are not used again are of no value.
+    /// Drops the connections to an arbitrary other address. Which one does not matter: they
+    /// are reopened if they are needed again, and have no value otherwise.
     fn drop_another_address(&mut self, address: SocketAddr) {
         let other = self.by_address.keys().find(|&&other| other != address).copied();
         if let Some(dropped) = other.and_then(|other| self.by_address.remove(&other)) {
--- a/src/runtime/http_client/mod.rs
+++ b/src/runtime/http_client/mod.rs
@@ -38,13 +38,16 @@
 
 impl HttpClient {
     /// Creates a client that keeps at most `max_idle` idle connections to all addresses together.
+    /// A lower maximum than 8 can be exceeded by connections to a single address, of which up to
+    /// 8 are kept.
     pub fn new(max_idle: usize) -> HttpClient {
         HttpClient {
             idle: Arc::new(Mutex::new(IdleConnections::new(max_idle))),
         }
     }
 
-    /// Sends a request and waits for its response.
+    /// Sends a request and waits for its response. Repeats the request only if a reused
+    /// connection turns out to be closed before any part of the request was written.
     pub async fn send(&self, address: SocketAddr, request: HttpRequest) -> Result<HttpResponse, RequestError> {
         loop {
             let message = request.to_message(address)?;
@@ -59,7 +62,7 @@
                     self.keep_idle(address, connection);
                     return Ok(response);
                 }
-                // The server had closed the reused connection: tries another one.
+                // The server had closed the reused connection; the request is sent on another one.
                 Err(RequestError::NotSent) if is_reused => {}
                 Err(error) => return Err(error),
             }
--- a/src/runtime/http_server.rs
+++ b/src/runtime/http_server.rs
@@ -26,7 +26,8 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// A connection that receives no complete request for this long is closed.
+/// A connection on which no request begins for this long is closed. A request begins when its
+/// head has been received.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
 /// Interval at which to check whether the event loop has caught up.
 const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/src/runtime/http_server/idle_timer.rs
+++ b/src/runtime/http_server/idle_timer.rs
@@ -1,13 +1,14 @@
-//! Detects connections without requests.
+//! Detects connections that have been idle for too long.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// A timer that expires when no request has arrived for the timeout.
+/// A timer that expires when no request has arrived for the length of the timeout.
 ///
-/// A request only stores its time; the timer is reset when it fires. Resetting it at each
-/// request would cost more than the rest of the request's bookkeeping.
+/// A request only records its time. When the underlying sleep ends, the timer sleeps again for
+/// what then remains of the timeout. Resetting the sleep at each request would cost more than
+/// the rest of the request's bookkeeping.
 pub struct IdleTimer {
     start: Instant,
     timeout: Duration,
@@ -25,13 +26,13 @@
         }
     }
 
-    /// Restarts the timeout.
+    /// Restarts the timeout, because a request has arrived.
     pub fn record_request(&self) {
         let elapsed_ms = self.start.elapsed().as_millis() as u64;
         self.last_request_ms.store(elapsed_ms, Ordering::Relaxed);
     }
 
-    /// Waits until no request has arrived for the timeout.
+    /// Waits until the timer expires.
     pub async fn expired(&self) {
         let mut expires_at = self.start + self.timeout;
         while Instant::now() < expires_at {
--- a/src/runtime/peer_links/mod.rs
+++ b/src/runtime/peer_links/mod.rs
@@ -24,6 +24,7 @@
 /// A link is considered dead when nothing arrives for this long: no acknowledgement at the
 /// sender, no frame at the receiver.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(8);
+/// A link is also considered dead when a single write to it takes longer than this.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a link ended.
--- a/src/runtime/peer_links/receiver.rs
+++ b/src/runtime/peer_links/receiver.rs
@@ -45,7 +45,8 @@
     let (frames, acknowledgements) = stream.split();
     let mut frames = BufReader::new(frames);
     let mut acknowledger = Acknowledger::new(acknowledgements);
-    // The name of the peer. Its first heartbeat gives the name; earlier messages are dropped.
+    // The node name of the peer, known from its first heartbeat on. Messages before that
+    // heartbeat are dropped.
     let mut peer: Option<String> = None;
     loop {
         let length_bytes = timeout(SILENCE_TIMEOUT, frame::read_length(&mut frames)).await??;
--- a/src/runtime/peer_links/sender.rs
+++ b/src/runtime/peer_links/sender.rs
@@ -62,8 +62,8 @@
     }
 }
 
-/// Encodes a message and the ones queued behind it, until the write has reached its maximum
-/// length.
+/// Encodes a message and those queued behind it, until the queue is empty or the write has
+/// reached [`MAX_WRITE_BYTES`].
 fn encode_queued(first: &Message, messages: &mut mpsc::Receiver<Message>) -> Result<Vec<u8>, LinkError> {
     let mut bytes = Vec::new();
     frame::append(&mut bytes, first)?;
--- a/src/runtime/serve.rs
+++ b/src/runtime/serve.rs
@@ -101,7 +101,7 @@
     Ok(())
 }
 
-/// Starts a link to each of the other controllers and returns the queues of their messages.
+/// Starts a link to each of the other controllers and returns the queues of the messages to them.
 fn dial_peers(settings: &Settings) -> PeerQueues {
     let mut queues = PeerQueues::new();
     for peer in &settings.peers {
--- a/src/runtime/service_calls/cloud.rs
+++ b/src/runtime/service_calls/cloud.rs
@@ -37,7 +37,7 @@
 /// Interprets the outcome of a request.
 pub fn reply(request: &CloudRequest, result: CallResult) -> CloudReply {
     match result {
-        // After any other response, the request may or may not have been executed.
+        // After an unexpected response, the request may or may not have been executed.
         Ok(response) => expected_reply(request, &response).unwrap_or(CloudReply::Unanswered),
         Err(RequestError::NotSent) => CloudReply::Unavailable,
         Err(RequestError::OutcomeUnknown) => CloudReply::Unanswered,
@@ -59,8 +59,8 @@
     }
 }
 
-/// Whether a response with status 503 means that the cloud has no such machine. It has the
-/// same status during an outage.
+/// Whether a response with status 503 means that the cloud has no capacity for the requested
+/// machines. During an outage, responses have the same status but another error text.
 fn has_no_capacity(body: &Bytes) -> bool {
     let value: Option<serde_json::Value> = serde_json::from_slice(body).ok();
     value.is_some_and(|value| value.get("error").and_then(|error| error.as_str()) == Some(NO_CAPACITY))
--- a/src/runtime/service_calls/json.rs
+++ b/src/runtime/service_calls/json.rs
@@ -9,7 +9,8 @@
     serde_json::to_vec(value).unwrap_or_default().into()
 }
 
-/// Decodes the body of a response. Logs an error and returns `None` if it is not valid.
+/// Decodes the body of a response. Logs an error and returns `None` if the body is not valid
+/// JSON or does not have the expected form.
 pub fn decode<T: DeserializeOwned>(body: &Bytes) -> Option<T> {
     serde_json::from_slice(body)
         .inspect_err(|error| tracing::error!(%error, "failed to decode a response"))
--- a/src/runtime/service_calls/mod.rs
+++ b/src/runtime/service_calls/mod.rs
@@ -22,7 +22,7 @@
 /// Starts calls and passes their replies to the event loop.
 pub struct ServiceCalls {
     client: HttpClient,
-    state_address: SocketAddr,
+    store_address: SocketAddr,
     cloud_address: SocketAddr,
     /// Queue for the replies of the cloud and of workers.
     events: mpsc::Sender<Event>,
@@ -35,7 +35,7 @@
     pub fn new(settings: &Settings, events: mpsc::Sender<Event>, store_events: mpsc::Sender<Event>) -> ServiceCalls {
         ServiceCalls {
             client: HttpClient::new(settings.connections().kept_idle),
-            state_address: settings.services.state,
+            store_address: settings.services.state,
             cloud_address: settings.services.cloud,
             events,
             store_events,
@@ -44,7 +44,7 @@
 
     /// Sends a request to the state service.
     pub fn call_store(&self, call: u64, request: StoreRequest) {
-        let (client, address) = (self.client.clone(), self.state_address);
+        let (client, address) = (self.client.clone(), self.store_address);
         spawn_call(&self.store_events, async move {
             let result = client.send(address, store::http_request(&request)).await;
             let reply = store::reply(&request, result);
--- a/src/runtime/service_calls/store.rs
+++ b/src/runtime/service_calls/store.rs
@@ -8,8 +8,8 @@
 use hyper::Method;
 use std::time::Duration;
 
-/// How long to wait for a response, in addition to the time for which the service may hold
-/// back the response to a watch.
+/// How long to wait for a response. For a watch, the time for which the service may hold back
+/// its response is added.
 const TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Maximum number of entries in one page of a list.
 const PAGE_LIMIT: u32 = 400;
@@ -66,7 +66,7 @@
         503 => Some(StoreReply::Unavailable),
         _ => expected_reply(request, &response),
     };
-    // After any other response, the request may or may not have been executed.
+    // After an unexpected response, the request may or may not have been executed.
     reply.unwrap_or_else(|| {
         tracing::warn!(
             status = response.status,
--- a/src/runtime/service_calls/tests.rs
+++ b/src/runtime/service_calls/tests.rs
@@ -31,6 +31,8 @@
     assert_eq!(unreadable, StoreReply::Unanswered);
 }
 
+/// Guards against the same mistake with requests to the cloud and to workers. A response that
+/// reports a lack of capacity has a meaning of its own only for a request for machines.
 #[test]
 fn cloud_and_worker_replies_distinguish_unknown_outcomes_from_requests_not_executed() {
     let list = CloudRequest::List { after: String::new() };
--- a/src/runtime/sockets.rs
+++ b/src/runtime/sockets.rs
@@ -1,4 +1,4 @@
-//! Opens TCP connections and listens for them.
+//! Opens, accepts and configures TCP connections.
 
 use std::io;
 use std::net::SocketAddr;
