--- a/src/settings/connection_limits.rs
+++ b/src/settings/connection_limits.rs
@@ -17,9 +17,10 @@
 const IN_FLIGHT_FRACTION: f64 = 0.12;
 /// Number of connections to the state service, the cloud and the other controllers.
 const FIXED_CONNECTIONS: u32 = 40;
-/// Where there are few connections, at most one in this many is reserved as a fixed one.
+/// Where few connections are allowed in total, at most one in this many is reserved for the
+/// state service, the cloud and the other controllers.
 const FIXED_CONNECTIONS_DIVISOR: u32 = 4;
-/// Fraction of the memory for unfinished submissions. Each is held up to three times: as it
+/// Fraction of the memory for unfinished submissions. Each submission is held up to three times: as it
 /// was received, as it was decoded, and as it is written or forwarded.
 const SUBMISSIONS_MEMORY_FRACTION: f64 = 0.02;
 /// Capacity of an event queue in addition to one report for each connection.
--- a/src/settings/lease_timing.rs
+++ b/src/settings/lease_timing.rs
@@ -8,22 +8,24 @@
 pub(super) const MAX_CLOCK_DRIFT_RATIO: f64 = 1.002;
 /// Time that a worker needs to notice that its lease has expired and to drop its tasks.
 pub(super) const EXPIRY_MARGIN_S: f64 = 1.0;
-/// Minimum of the bound on the age of the watch cache. Watched keys are read once a second,
-/// so that two consecutive reads may fail.
+/// Minimum of the bound on the age of the watch cache. The cache is refreshed once a second, so
+/// that two consecutive refreshes may fail.
 const MIN_WATCH_CACHE_AGE_LIMIT_MS: Millis = 2_500;
 /// Maximum of the bound on the age of the watch cache. A higher bound has no advantage, even
 /// where the leases leave time for it.
 pub(super) const MAX_WATCH_CACHE_AGE_LIMIT_MS: Millis = 5_000;
 
 impl Settings {
-    /// Returns the time without an answer after which a worker has certainly dropped its tasks.
+    /// Returns the time without an answer, on the controller's clock, after which a worker has
+    /// certainly dropped its tasks.
     pub fn lease_expiry_ms(&self) -> Millis {
         millis(self.params.workers.lease_s * MAX_CLOCK_DRIFT_RATIO) + millis(EXPIRY_MARGIN_S)
     }
 
-    /// Returns how old the leader's knowledge of cancellations may be while it answers
-    /// workers. No more than `cancel_s` may pass between the confirmation of a cancellation
-    /// and the time when the lease that the last answer renewed has certainly expired.
+    /// Returns the maximum age of the watch cache, from which the leader knows of cancellations,
+    /// while it answers workers. No more than `cancel_s` may pass between the confirmation of a
+    /// cancellation and the time when the lease that the last answer renewed has certainly
+    /// expired. If even the lowest bound is too high for that, [`Settings::warnings`] says so.
     pub fn max_watch_cache_age_ms(&self) -> Millis {
         let workers = &self.params.workers;
         let remaining_s = workers.cancel_s - workers.lease_s * MAX_CLOCK_DRIFT_RATIO - EXPIRY_MARGIN_S;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -121,10 +121,10 @@
     /// What is measured: `wait` is the time until a job starts and `finished` the time until it
     /// is complete. Objectives of other kinds have no effect.
     pub kind: String,
-    /// Class of jobs that the objective applies to; absent if it applies to none in particular.
+    /// Class of jobs that the objective applies to. An objective without a class has no effect.
     #[serde(default)]
     pub class: Option<String>,
-    /// Time limit in seconds; absent for objectives without one.
+    /// Time limit in seconds. An objective without a time limit has no effect.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
@@ -147,7 +147,7 @@
     pub rps: f64,
     /// Maximum number of puts and deletes per second.
     pub write_rps: f64,
-    /// Maximum size of a value, in kilobytes.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
     /// Maximum number of operations in one transaction.
     pub txn_ops: u32,
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -118,7 +118,7 @@
         ("params.time_bound_ms", params.max_clock_skew_ms),
     ];
     for (field, value) in values {
-        if !is_amount(value) {
+        if !is_non_negative(value) {
             return reject(field, Problem::Negative { value });
         }
     }
@@ -161,7 +161,7 @@
             ("gpus_max", team.gpus_max),
         ];
         for (amount, value) in amounts {
-            if !is_amount(value) {
+            if !is_non_negative(value) {
                 return reject(&field, Problem::NegativeAmount { amount, value });
             }
         }
@@ -194,6 +194,7 @@
     })
 }
 
-fn is_amount(value: f64) -> bool {
+/// Whether a value is finite and at least 0.
+fn is_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
