--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -46,7 +46,7 @@
 
 /// A change in a transaction.
 // The enum is untagged because the protocol distinguishes the two kinds by the field that
-// names the key. The other fields are renamed to the protocol's names.
+// names the key: `put` or `drop`. The other fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
@@ -129,7 +129,7 @@
 }
 
 /// A change seen by a watch: a put, or (without `put`) a removal.
-// The fields are renamed to the protocol's names; those of the other kind are left out.
+// The fields are renamed to the protocol's names; absent keys are left out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchEvent {
     /// Name of the key that was put; absent for a removal.
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -18,7 +18,7 @@
     /// No longer running, or never started; [`TaskReport::exit_reason`] says why.
     #[serde(rename = "ended")]
     Exited,
-    /// A state that this version of the protocol does not name.
+    /// A state that this version of the protocol does not define.
     #[serde(other)]
     Other,
 }
@@ -45,7 +45,7 @@
     /// Start refused: the worker knows no such job or task.
     #[serde(rename = "no_such")]
     UnknownTask,
-    /// A reason that this version of the protocol does not name.
+    /// A reason that this version of the protocol does not define.
     #[serde(other)]
     Other,
 }
@@ -68,8 +68,9 @@
     pub exit_reason: Option<ExitReason>,
 }
 
-/// A worker's heartbeat: the state of its machine and of the attempts on it. The
-/// message with the larger (`agent_epoch`, `seq`) is the newer one.
+/// A worker's heartbeat: the state of its machine and of the attempts on it. A worker also
+/// answers direct commands with a report. Of two reports, the one with the larger
+/// (`agent_epoch`, `seq`) is newer.
 // The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
@@ -87,11 +88,11 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// Number of the worker's session. It starts at 1 and increases whenever the worker's lease
-    /// expires.
+    /// Agent epoch: the number of the worker's session. It starts at 1 and increases whenever the
+    /// worker's lease expires.
     #[serde(rename = "saleDay")]
     pub agent_epoch: u64,
-    /// Sequence number, which increases with every message of the worker.
+    /// Sequence number, which increases with every report of the worker.
     #[serde(rename = "paddleCount")]
     pub seq: u64,
     /// Highest fencing token that the worker has received.
@@ -177,8 +178,8 @@
     /// token.
     #[serde(rename = "gavel")]
     pub fencing_token: u64,
-    /// Number of the worker's session. The worker refuses the commands if it is in another
-    /// session when they arrive.
+    /// Agent epoch of the worker for which the commands are meant. The worker refuses them if it
+    /// is in another agent epoch when they arrive.
     #[serde(rename = "saleDay")]
     pub agent_epoch: u64,
     /// Commands, which the worker executes in this order.
