--- a/src/cli/arguments.rs
+++ b/src/cli/arguments.rs
@@ -32,7 +32,7 @@
     /// The settings file (TOML) that the platform provides.
     #[arg(long)]
     pub config: PathBuf,
-    /// A Lua script that returns a table of the operators' settings.
+    /// A Lua script that returns a table of policy values.
     #[arg(long)]
     pub policy: Option<PathBuf>,
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -39,7 +39,7 @@
     NoAnswer {
         /// Address of the controller.
         server: SocketAddr,
-        /// Whether the request was sent.
+        /// Why there is no answer, and whether the request may have been executed.
         source: RequestError,
     },
     /// The controller refused the request.
