--- a/src/controller/commits/tests.rs
+++ b/src/controller/commits/tests.rs
@@ -18,7 +18,7 @@
     let machine = shard.add_machine(0, "host-1", "small", "north", true);
     let machine = shard.workers.machines.get_mut(machine).expect("an existing machine");
     machine.is_persisted = true;
-    machine.heard_at = Some(START);
+    machine.last_report_at = Some(START);
     machine.report_due = Millis::MAX;
     for group in shard.fleet.inventory.due(DueGroups::Urgent) {
         shard.fleet.inventory.write_started(group);
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -142,7 +142,7 @@
             // Retry once, since the route may have failed rather than the machine. After that
             // the machine either reports or becomes silent, so further retries are not urgent.
             let is_first_failure = !std::mem::replace(&mut machine.has_unanswered_command, true);
-            if is_first_failure || machine.heard_at.is_none() {
+            if is_first_failure || machine.last_report_at.is_none() {
                 machine.relayed_by = None;
                 self.workers.delivery_due.insert(ix);
             }
@@ -186,7 +186,7 @@
         let commands = self.commands(now, ix);
         let machine = self.workers.machines.get_mut(ix)?;
         let is_responsive =
-            machine.heard_at.is_some() && machine.missed_answers == 0 && !machine.has_unanswered_command;
+            machine.last_report_at.is_some() && machine.missed_answers == 0 && !machine.has_unanswered_command;
         if commands.is_empty() && is_responsive {
             return None;
         }
--- a/src/controller/shard/tests/attribution.rs
+++ b/src/controller/shard/tests/attribution.rs
@@ -148,7 +148,7 @@
     }
     assert!(shard.jobs.table.get(job).expect("there").is_likely_misconfigured());
     assert!(machine_of(&shard, machine).open.len() <= 1);
-    machine_of_mut(&mut shard, machine).heard_at = Some(500_000);
+    machine_of_mut(&mut shard, machine).last_report_at = Some(500_000);
     shard.plan_fleet(500_000);
     assert!(!machine_of(&shard, machine).decommissioned);
 }
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -109,7 +109,7 @@
 #[test]
 fn only_a_report_of_this_term_shows_that_a_machine_is_there() {
     let (mut shard, machine) = shard();
-    machine_of_mut(&mut shard, machine).heard_at = None;
+    machine_of_mut(&mut shard, machine).last_report_at = None;
     shard.merge_report(10, &report(1, 2, 4, Vec::new()), ReportPath::Heartbeat);
     assert!(!usable(&shard, machine, 10));
     shard.merge_report(20, &report(1, 3, 5, Vec::new()), ReportPath::Heartbeat);
--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -37,7 +37,7 @@
         let machine = shard.workers.machines.get_mut(ix).expect("there");
         // One of the south and all of the north fall silent, the north's one
         // after the other: its last reports were not sent together.
-        machine.heard_at = Some(match index {
+        machine.last_report_at = Some(match index {
             0..=3 => index * 1_000,
             4 => 0,
             _ => 60_000,
@@ -93,9 +93,9 @@
 #[test]
 fn silence_counts_from_when_the_leader_hears_again() {
     let mut shard = shard_with(1, &[("small", 8.0)], 1, true);
-    for (name, heard_at) in [("host-1", Some(0)), ("host-2", Some(0)), ("host-3", None)] {
+    for (name, last_report_at) in [("host-1", Some(0)), ("host-2", Some(0)), ("host-3", None)] {
         let ix = shard.add_machine(0, name, "small", "north", true);
-        shard.workers.machines.get_mut(ix).expect("there").heard_at = heard_at;
+        shard.workers.machines.get_mut(ix).expect("there").last_report_at = last_report_at;
     }
     let silent_ms = crate::millis(shard.policy.silent_reports * shard.workers.report_s * 1.25);
     shard.workers.receiving_reports_since = 300_000;
@@ -155,9 +155,9 @@
         "it may come yet"
     );
     // If it comes after all it counts like any other.
-    shard.workers.machines.get_mut(ix).expect("there").heard_at = Some(14_000);
+    shard.workers.machines.get_mut(ix).expect("there").last_report_at = Some(14_000);
     assert_eq!(planned_machines(&mut shard, 14_000), 1);
-    shard.workers.machines.get_mut(ix).expect("there").heard_at = None;
+    shard.workers.machines.get_mut(ix).expect("there").last_report_at = None;
     let unresponsive_after_ms = shard.fleet_and_context(0).1.unresponsive_after_ms();
     let patience = shard.workers.lease_expiry_ms.max(25_000) + unresponsive_after_ms;
     shard.decommission_failed(patience + 1);
--- a/src/controller/shard/tests/scheduling.rs
+++ b/src/controller/shard/tests/scheduling.rs
@@ -39,7 +39,7 @@
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
     let known = shard.workers.machines.get_mut(machine).expect("there");
     known.is_persisted = true;
-    known.heard_at = Some(NOW);
+    known.last_report_at = Some(NOW);
     known.report_due = NOW + 10_000;
     let job = shard.jobs.table.find("j-2").expect("known");
     for task in 0..2 {
--- a/src/controller/shard/tests/transactions.rs
+++ b/src/controller/shard/tests/transactions.rs
@@ -22,7 +22,7 @@
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
     let machine = shard.workers.machines.get_mut(machine).expect("there");
     machine.is_persisted = true;
-    machine.heard_at = Some(0);
+    machine.last_report_at = Some(0);
     machine.report_due = Millis::MAX;
     for group in shard.fleet.inventory.due(DueGroups::Urgent) {
         shard.fleet.inventory.write_started(group);
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -72,7 +72,7 @@
                     && (!status.zone_is_unresponsive || status.replacement_would_be_up() && status.lease_has_expired())
             }
             Failure::UnresponsiveAndUnlisted => {
-                machine.cloud_listing.is_missing() && machine.heard_at.is_some() && status.is_report_late()
+                machine.cloud_listing.is_missing() && machine.last_report_at.is_some() && status.is_report_late()
             }
             Failure::Unreachable => is_unreachable(machine) && !status.fleet.most_unreachable,
             Failure::BootFailed => {
--- a/src/fleet/provision.rs
+++ b/src/fleet/provision.rs
@@ -148,7 +148,7 @@
         } else {
             spot_idle_ms / ON_DEMAND_IDLE_DIVISOR
         };
-        let is_up = machine.heard_at.is_some();
+        let is_up = machine.last_report_at.is_some();
         if is_up && machine.open.is_empty() && context.now > machine.idle_since + idle_ms {
             tracing::info!(machine = machine.name, "scaling in an idle machine");
             idle.push(ix);
--- a/src/placement/machine_view/tests.rs
+++ b/src/placement/machine_view/tests.rs
@@ -57,7 +57,7 @@
         let zone = self.topology.zones.intern(zone);
         let mut machine = Machine::new(name, Offer { type_ix, zone, spot }, 0);
         machine.is_persisted = true;
-        machine.heard_at = Some(0);
+        machine.last_report_at = Some(0);
         self.workers.machines.insert(name, machine)
     }
 
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -44,7 +44,7 @@
     /// When the last report arrived that was provably sent in this term: it carried this
     /// leader's fencing token or replied to a direct command. Any other report may be a
     /// delayed copy.
-    pub heard_at: Option<Millis>,
+    pub last_report_at: Option<Millis>,
     /// Latest time at which the next report is expected. After this time the worker may hang
     /// or be disconnected, so the machine gets no new tasks.
     pub report_due: Millis,
@@ -108,7 +108,7 @@
             agent_epoch: 0,
             seq: 0,
             fencing_token: 0,
-            heard_at: None,
+            last_report_at: None,
             report_due: 0,
             has_unanswered_command: false,
             known_up_at: None,
@@ -135,7 +135,7 @@
     /// next leader will know of it; it has reported to this leader; and it has no known fault.
     pub fn usable(&self, now: Millis) -> bool {
         self.is_persisted
-            && self.heard_at.is_some()
+            && self.last_report_at.is_some()
             && now <= self.report_due
             && !self.has_unanswered_command
             && self.spot_reclaim_at.is_none()
@@ -153,7 +153,7 @@
 
     /// Returns when the machine was last known to be up, in this term or before.
     pub fn last_known_up_at(&self) -> Option<Millis> {
-        self.heard_at.or(self.known_up_at)
+        self.last_report_at.or(self.known_up_at)
     }
 
     /// Returns the type, zone and spot status under which the machine is rented.
@@ -179,7 +179,7 @@
     /// address that was not known, returns the inventory group to write again.
     pub(super) fn note_listed(&mut self, now: Millis, listed: &ListedMachine) -> Option<GroupIx> {
         self.cloud_listing.note_named();
-        if self.heard_at.is_none() {
+        if self.last_report_at.is_none() {
             self.requested_at = now.saturating_sub(crate::millis(listed.age_s));
         }
         if listed.state == MachineState::Failed && !self.decommissioned {
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -58,7 +58,7 @@
         machine.seq = report.seq;
         machine.fencing_token = machine.fencing_token.max(report.fencing_token);
         if received.is_from_current_term() {
-            self.capacity_changed |= machine.heard_at.is_none();
+            self.capacity_changed |= machine.last_report_at.is_none();
             machine.note_heard(received.now, report_due);
         } else {
             machine.known_up_at.get_or_insert(received.now);
@@ -134,10 +134,10 @@
 
     /// Records that the worker provably sent a report in this term.
     fn note_heard(&mut self, now: Millis, report_due: Millis) {
-        if self.heard_at.is_none() {
+        if self.last_report_at.is_none() {
             self.idle_since = now;
         }
-        self.heard_at = Some(now);
+        self.last_report_at = Some(now);
         self.report_due = report_due;
         self.has_unanswered_command = false;
     }
@@ -146,7 +146,7 @@
     /// all its tasks.
     fn begin_agent_epoch(&mut self, received: ReceivedReport<'_>, lease_expiry_ms: Millis) {
         let answered_recently = received.now < self.answered_at + lease_expiry_ms / 2;
-        if received.path == ReportPath::Heartbeat && self.heard_at.is_some() && answered_recently {
+        if received.path == ReportPath::Heartbeat && self.last_report_at.is_some() && answered_recently {
             // The lease expired although this leader sent answers, so they do not arrive.
             self.missed_answers += MISSED_ANSWERS_TO_CORDON;
         }
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -83,7 +83,7 @@
     /// address that was not known, returns the inventory group to write again.
     pub fn note_listed(&mut self, now: Millis, ix: MachineIx, listed: &ListedMachine) -> Option<GroupIx> {
         let machine = self.machines.get_mut(ix)?;
-        if listed.state == MachineState::Running && machine.heard_at.is_none() {
+        if listed.state == MachineState::Running && machine.last_report_at.is_none() {
             // The reply to a direct command shows that the machine is up.
             self.delivery_due.insert(ix);
         }
