--- a/src/controller/shard/tests/commands.rs
+++ b/src/controller/shard/tests/commands.rs
@@ -2,7 +2,7 @@
 
 use super::worker_fixture::*;
 use crate::wire::{Command, ExitReason, TaskReport, TaskState};
-use crate::workers::{MAX_LISTED_ENDED_TASKS, ReportPath};
+use crate::workers::{MAX_LISTED_EXITED_TASKS, ReportPath};
 
 #[test]
 fn an_end_is_forgotten_only_once_it_is_written() {
@@ -29,17 +29,17 @@
         task: format!("j-7/{number}"),
         ..task(TaskState::Exited, Some(ExitReason::Done))
     };
-    let few = (0..MAX_LISTED_ENDED_TASKS - 1).map(ended).collect();
+    let few = (0..MAX_LISTED_EXITED_TASKS - 1).map(ended).collect();
     shard.merge_report(10, &report(1, 2, 5, few), ReportPath::Heartbeat);
     assert!(!shard.workers.needs_higher_term);
-    let many = (0..MAX_LISTED_ENDED_TASKS).map(ended).collect();
+    let many = (0..MAX_LISTED_EXITED_TASKS).map(ended).collect();
     shard.merge_report(20, &report(1, 3, 5, many), ReportPath::Heartbeat);
     assert!(shard.workers.needs_higher_term);
     shard.term = 6;
     let forgets = shard.commands(30, machine).into_iter();
     assert_eq!(
         forgets.filter(|c| matches!(c, Command::Forget { .. })).count(),
-        MAX_LISTED_ENDED_TASKS
+        MAX_LISTED_EXITED_TASKS
     );
 }
 
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -15,7 +15,7 @@
 
 /// Number of ended tasks in a machine's report at which the leader raises its term. While a
 /// start command may still arrive, the worker must not forget its ended tasks.
-pub(crate) const MAX_LISTED_ENDED_TASKS: usize = 40;
+pub(crate) const MAX_LISTED_EXITED_TASKS: usize = 40;
 
 impl Workers {
     /// Returns why a report must be rejected before it is merged; `None` if it is acceptable.
@@ -121,7 +121,7 @@
     /// command of this term may still arrive. This bounds the size of reports.
     fn limit_ended_tasks(&mut self, ix: MachineIx, term: u64) {
         self.needs_higher_term |= self.machines.get(ix).is_some_and(|machine| {
-            machine.has_unconfirmed_start_of(term) && machine.count_unmatched_ended_tasks() >= MAX_LISTED_ENDED_TASKS
+            machine.has_unconfirmed_start_of(term) && machine.count_unmatched_ended_tasks() >= MAX_LISTED_EXITED_TASKS
         });
     }
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -41,7 +41,7 @@
 pub use delivery::Delivery;
 pub use machine::{MISSED_ANSWERS_TO_CORDON, MISSED_ANSWERS_TO_DECOMMISSION, Machine};
 #[cfg(test)]
-pub(crate) use merge::MAX_LISTED_ENDED_TASKS;
+pub(crate) use merge::MAX_LISTED_EXITED_TASKS;
 pub use registry::Workers;
 pub use report::{MergeOutcome, MergedReport, ReceivedReport, ReportPath};
 pub use task_name::{parse_task_name, task_name};
