--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -192,7 +192,7 @@
             unseen = attempts().filter(|attempt| attempt.observed_state.is_none()).count(),
             machines = shard.workers.machines.len(),
             usable = machines().filter(|machine| machine.usable(self.now)).count(),
-            writing_ms = in_flight.map_or(0, |flight| self.now - flight.sent),
+            writing_ms = in_flight.map_or(0, |flight| self.now - flight.sent_at),
             queued = self.store_client.queue_len(),
             asked = self.admission.len(),
             "shard summary"
--- a/src/persistence/in_flight.rs
+++ b/src/persistence/in_flight.rs
@@ -15,7 +15,7 @@
     /// The transaction, which is sent again unchanged until it is answered.
     pub transaction: Arc<Transaction>,
     /// When the transaction was first sent.
-    pub sent: Millis,
+    pub sent_at: Millis,
     /// Whether a copy of the transaction went unanswered.
     unanswered: bool,
     pub(super) content: Content,
@@ -26,7 +26,7 @@
     pub(super) fn new(transaction: Arc<Transaction>, now: Millis, content: Content) -> InFlight {
         InFlight {
             transaction,
-            sent: now,
+            sent_at: now,
             unanswered: false,
             content,
         }
