--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -7,7 +7,7 @@
 /// What follows from the absence of an open attempt from a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Absence {
-    /// The attempt is still wanted or may still start.
+    /// Nothing follows: the attempt is still wanted or may still start.
     Inconclusive,
     /// The attempt has ended: the worker dropped all tasks of its earlier agent epochs.
     EpochEnded,
@@ -58,7 +58,7 @@
         }
         self.clear_observed_state();
         let is_unwanted = self.stop_grace_s.is_some() && self.record.is_written();
-        if !is_unwanted || !self.has_answered_start_expired(received.now) {
+        if !is_unwanted || !self.has_start_in_answer_expired(received.now) {
             return Absence::Inconclusive;
         }
         if !machine.may_receive_direct_start(received.report.fencing_token) {
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -15,8 +15,7 @@
     Done,
     /// The task failed.
     Error,
-    /// The worker refused to start the attempt, or reported no exit reason that this version
-    /// knows.
+    /// The worker refused to start the attempt, or gave no exit reason or an unknown one.
     Refused,
     /// The worker stopped the attempt on command.
     Stopped,
@@ -137,7 +136,8 @@
     /// State of the attempt in the machine's newest report; `None` if that report does not
     /// list it.
     pub observed_state: Option<TaskState>,
-    /// When a report first listed the attempt as running; `None` while it is not listed.
+    /// When a report first listed the attempt as running; `None` before that, and again once a
+    /// report no longer lists the attempt.
     pub running_since: Option<Millis>,
     /// When a start command was last sent, in the answer to a report or directly.
     pub start_sent_at: Option<Millis>,
@@ -192,8 +192,9 @@
         self.running_since = None;
     }
 
-    /// Whether no start command sent in the answer to a report can still be carried out.
-    pub(super) fn has_answered_start_expired(&self, now: Millis) -> bool {
+    /// Whether no start command sent in the answer to a report can still be carried out. Direct
+    /// start commands are tracked by the machine.
+    pub(super) fn has_start_in_answer_expired(&self, now: Millis) -> bool {
         self.start_sent_at.is_none_or(|sent| now > sent + ANSWER_LIFETIME_MS)
     }
 
--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -22,7 +22,8 @@
 /// Number of distinct jobs failing on a machine since its last success at which the machine
 /// is unhealthy, if no failure is proven.
 pub(crate) const UNHEALTHY_AFTER_FAILING_JOBS: usize = 3;
-/// The same number if at least one failure is proven.
+/// Number of distinct jobs failing on a machine since its last success at which the machine
+/// is unhealthy, if at least one failure is proven.
 const UNHEALTHY_AFTER_FAILING_JOBS_ONE_PROVEN: usize = 2;
 
 /// The task failures that count against a machine.
@@ -52,7 +53,7 @@
 
     /// Records that a task of the job failed on the machine. Returns whether a task of this job
     /// had already failed on it since the last success.
-    fn note_job(&mut self, job: JobIx) -> bool {
+    fn note_failing_job(&mut self, job: JobIx) -> bool {
         let failed_before = self.failing_jobs.contains(&job);
         if !failed_before {
             self.failing_jobs.push(job);
@@ -60,6 +61,7 @@
         failed_before
     }
 
+    /// Removes all failures.
     fn clear(&mut self) {
         self.failing_jobs.clear();
         self.proven_failures = 0;
@@ -95,7 +97,7 @@
             job.consecutive_failures += 1;
             return;
         }
-        let failed_here_before = machine.failures.note_job(attempt.job);
+        let failed_here_before = machine.failures.note_failing_job(attempt.job);
         // Several tasks of a job that fail together on one machine count against the job
         // once.
         let counts_against_job = !failed_here_before || now >= machine.cordoned_until;
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Removes a job's failures from all machines, because the job itself is at fault or has
-    /// been removed.
+    /// Removes a job from the failing jobs of all machines, because the job itself is at fault
+    /// or has been removed. Proven failures stay.
     pub fn clear_failures_of(&mut self, job: JobIx) {
         for (_, machine) in self.machines.iter_mut() {
             machine.failures.failing_jobs.retain(|&failing_job| failing_job != job);
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -11,7 +11,8 @@
 const MAX_COMMANDS_PER_MESSAGE: usize = 400;
 
 impl Workers {
-    /// Returns the commands that a machine's worker should receive now, in order.
+    /// Returns the commands that a machine's worker should receive now, in order, and records
+    /// when start commands were last sent.
     pub fn commands(&mut self, now: Millis, term: u64, ix: MachineIx, jobs: &Jobs) -> Vec<Command> {
         let Some(machine) = self.machines.get(ix) else {
             return Vec::new();
--- a/src/workers/drain.rs
+++ b/src/workers/drain.rs
@@ -39,8 +39,8 @@
 
 impl Attempt {
     /// Returns the seconds to allow for saving if the attempt should be stopped now, given that
-    /// its machine is reclaimed in `left_s` seconds. Returns `None` if the attempt finishes
-    /// before that or need not be stopped yet.
+    /// its machine is reclaimed in `left_s` seconds. Returns `None` if the attempt can save and
+    /// need not be stopped yet, or if it cannot save but is expected to finish in time.
     fn grace_before_reclaim(&self, now: Millis, spec: &JobSpec, left_s: f64) -> Option<f64> {
         let finishes_in_time = spec.estimate_s - self.observed_running_s(now) < left_s;
         let can_save = spec.checkpoint_s > 0.0 && self.observed_state == Some(TaskState::Running);
--- a/src/workers/drain/tests.rs
+++ b/src/workers/drain/tests.rs
@@ -2,8 +2,8 @@
 use crate::ids::{JobIx, MachineIx};
 use serde_json::json;
 
-/// Returns a job whose tasks are estimated to run for 100 s and save within 10 s if they
-/// checkpoint.
+/// Returns a job whose tasks are estimated to run for 100 s. They can save their progress within
+/// 10 s, unless `checkpoint_s` is 0.
 fn spec(checkpoint_s: f64) -> JobSpec {
     serde_json::from_value(json!({"id":"j-1","lotType":"sort","consignor":"floor",
         "saleFormat":"array","bidRank":"high","lots":1,"cores":4.0,"cards":0.0,"memGb":8.0,"catalog":"img",
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -41,32 +41,35 @@
     pub seq: u64,
     /// Highest fencing token that the worker has reported.
     pub fencing_token: u64,
-    /// When the last report arrived that was provably sent in this term: it carried this
-    /// leader's fencing token or replied to a direct command. Any other report may be a
-    /// delayed copy.
+    /// When the last report arrived that was provably sent under this leader: it carried the
+    /// fencing token of the leader's term or replied to a direct command. Any other report may
+    /// be a delayed copy and is not counted here. `None` until there is such a report.
     pub last_report_at: Option<Millis>,
     /// Latest time at which the next report is expected. After this time the worker may hang
     /// or be disconnected, so the machine gets no new tasks.
     pub report_due: Millis,
     /// Whether a direct command has gone unanswered or undelivered since the last report.
     pub has_unanswered_command: bool,
-    /// When the machine was first known to be up, from reports that may have been sent before
-    /// this term.
+    /// When the machine was first known to be up without a report of this term: a report arrived
+    /// that may have been sent earlier, or the stored inventory contained the worker's address
+    /// at takeover.
     pub known_up_at: Option<Millis>,
     /// Whether the next report must show an effect of the last answer.
     pub expects_effect: bool,
     /// Number of consecutive reports that did not show the expected effect of the previous
     /// answer.
     pub missed_answers: u32,
-    /// Last time at which an answer may have renewed the worker's lease.
+    /// Last time at which an answer may have renewed the worker's lease. A new agent epoch also
+    /// counts, since it starts with a full lease.
     pub answered_at: Millis,
-    /// Highest term in which a direct start command went unanswered; 0 if there is none. The
-    /// command may still arrive until the worker reports a higher fencing token.
+    /// Highest term of which a direct start command may still arrive, because it went unanswered
+    /// or a former leader may have sent it; 0 if there is none. The worker rejects the command
+    /// once it has a higher fencing token or a new agent epoch.
     pub unconfirmed_start_term: u64,
     /// When the cloud will reclaim the machine, if the cloud has given notice.
     pub spot_reclaim_at: Option<Millis>,
-    /// Whether the machine has been unresponsive for so long that it does not count as capacity
-    /// until it reports again.
+    /// Whether the last health check found the machine unresponsive. It does not count as
+    /// capacity until it reports again.
     pub marked_unresponsive: bool,
     /// Whether the machine gets no new tasks and is to be deleted.
     pub decommissioned: bool,
@@ -80,7 +83,8 @@
     pub images: Vec<(ImageIx, f64)>,
     /// Open attempts placed on the machine.
     pub open: Vec<AttemptIx>,
-    /// Tasks in the newest report that have exited or that match no open attempt.
+    /// Tasks in the newest report that match no open attempt. Exited tasks are included, since
+    /// the report that lists them closes their attempts.
     pub unmatched_tasks: Vec<TaskReport>,
     /// Resources reserved for the open attempts.
     pub used: Resources,
@@ -132,7 +136,8 @@
     }
 
     /// Whether the machine may be given new tasks: the stored inventory names it, so that the
-    /// next leader will know of it; it has reported to this leader; and it has no known fault.
+    /// next leader will know of it; it has reported to this leader and is not late; answers and
+    /// commands reach it; and it is neither cordoned nor decommissioned nor to be reclaimed.
     pub fn usable(&self, now: Millis) -> bool {
         self.is_persisted
             && self.last_report_at.is_some()
@@ -144,9 +149,9 @@
             && now >= self.cordoned_until
     }
 
-    /// Whether a direct start command of this term went unanswered and may still arrive. Only
-    /// a higher term prevents that. The worker rejects start commands of earlier terms once it
-    /// has seen the fencing token of this term.
+    /// Whether a direct start command of this term went unanswered and may still arrive. The
+    /// fencing token of this term makes the worker reject only the start commands of earlier
+    /// terms, so a higher term is needed to prevent this one.
     pub fn has_unconfirmed_start_of(&self, term: u64) -> bool {
         self.unconfirmed_start_term >= term
     }
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -13,8 +13,8 @@
 /// counts as late. A worker that loses its controller tries the next one after 5 s.
 const REPORT_DELAY_TOLERANCE_MS: Millis = 6_000;
 
-/// Number of ended tasks in a machine's report at which the leader raises its term. While a
-/// start command may still arrive, the worker must not forget its ended tasks.
+/// Number of exited tasks in a machine's report at which the leader raises its term. While a
+/// start command may still arrive, the worker must not forget its exited tasks.
 pub(crate) const MAX_LISTED_EXITED_TASKS: usize = 40;
 
 impl Workers {
@@ -42,7 +42,7 @@
         let start_is_missing = self.handle_missing_attempts(ix, received, &listed, jobs, &mut merged);
         let answer_had_no_effect = start_is_missing || received.report.fencing_token < received.term;
         self.count_missed_answers(ix, received.path, answer_had_no_effect);
-        self.limit_ended_tasks(ix, received.term);
+        self.limit_exited_tasks(ix, received.term);
         merged
     }
 
@@ -59,7 +59,7 @@
         machine.fencing_token = machine.fencing_token.max(report.fencing_token);
         if received.is_from_current_term() {
             self.capacity_changed |= machine.last_report_at.is_none();
-            machine.note_heard(received.now, report_due);
+            machine.note_report_from_current_term(received.now, report_due);
         } else {
             machine.known_up_at.get_or_insert(received.now);
         }
@@ -100,7 +100,8 @@
         listed
     }
 
-    /// Counts the consecutive reports that indicate that answers do not reach the worker.
+    /// Counts the consecutive reports that show no effect of the previous answer, which
+    /// indicates that answers do not reach the worker.
     fn count_missed_answers(&mut self, ix: MachineIx, path: ReportPath, answer_had_no_effect: bool) {
         let Some(machine) = self.machines.get_mut(ix) else {
             return;
@@ -117,11 +118,11 @@
         }
     }
 
-    /// Requests a higher term if a machine has to list too many ended tasks because a start
+    /// Requests a higher term if a machine has to list too many exited tasks because a start
     /// command of this term may still arrive. This bounds the size of reports.
-    fn limit_ended_tasks(&mut self, ix: MachineIx, term: u64) {
+    fn limit_exited_tasks(&mut self, ix: MachineIx, term: u64) {
         self.needs_higher_term |= self.machines.get(ix).is_some_and(|machine| {
-            machine.has_unconfirmed_start_of(term) && machine.count_unmatched_ended_tasks() >= MAX_LISTED_EXITED_TASKS
+            machine.has_unconfirmed_start_of(term) && machine.count_exited_tasks() >= MAX_LISTED_EXITED_TASKS
         });
     }
 }
@@ -132,8 +133,8 @@
         (report.agent_epoch, report.seq) > (self.agent_epoch, self.seq)
     }
 
-    /// Records that the worker provably sent a report in this term.
-    fn note_heard(&mut self, now: Millis, report_due: Millis) {
+    /// Records a report that the worker provably sent in this term.
+    fn note_report_from_current_term(&mut self, now: Millis, report_due: Millis) {
         if self.last_report_at.is_none() {
             self.idle_since = now;
         }
@@ -142,12 +143,13 @@
         self.has_unanswered_command = false;
     }
 
-    /// Handles a new agent epoch: the worker restarted or its lease expired, and it dropped
-    /// all its tasks.
+    /// Handles the first report of an agent epoch: the worker has started, restarted or lost its
+    /// lease, and it has dropped all tasks of earlier epochs.
     fn begin_agent_epoch(&mut self, received: ReceivedReport<'_>, lease_expiry_ms: Millis) {
         let answered_recently = received.now < self.answered_at + lease_expiry_ms / 2;
         if received.path == ReportPath::Heartbeat && self.last_report_at.is_some() && answered_recently {
-            // The lease expired although this leader sent answers, so they do not arrive.
+            // The worker most likely lost its lease although this leader answered its reports,
+            // so the answers do not reach it.
             self.missed_answers += MISSED_ANSWERS_TO_CORDON;
         }
         self.unconfirmed_start_term = 0;
@@ -156,12 +158,12 @@
     }
 
     /// Returns the number of exited tasks in the newest report.
-    fn count_unmatched_ended_tasks(&self) -> usize {
-        let ended = self
+    fn count_exited_tasks(&self) -> usize {
+        let exited = self
             .unmatched_tasks
             .iter()
             .filter(|task| task.state == TaskState::Exited);
-        ended.count()
+        exited.count()
     }
 }
 
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -8,13 +8,14 @@
 //! - the worker has begun a later agent epoch,
 //! - the machine is deleted,
 //! - the worker's lease has certainly expired,
-//! - the attempt is no longer wanted, and no start command for it can still arrive.
+//! - the attempt is no longer wanted, and no start command for it can still arrive. Unless
+//!   the job has ended, the attempt's record is removed before the attempt is closed.
 //!
 //! Commands are always derived from the open attempts and the newest report, so repeating them
 //! requires no additional state.
 //!
-//! Consequences for other parts of the shard's state are returned as values, which the shard
-//! applies.
+//! The consequences of a report for other parts of the shard's state are returned as values,
+//! which the shard applies.
 
 mod absence;
 mod attempt;
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -65,8 +65,8 @@
         self.tombstones.contains_key(name)
     }
 
-    /// Removes a deleted machine and returns its last state. Its index may be reused for another
-    /// machine.
+    /// Removes a deleted machine and returns its last state. Its name is remembered until
+    /// [`Workers::expire_tombstones`] forgets it; its index may be reused for another machine.
     pub fn remove_machine(&mut self, now: Millis, name: &str) -> Option<Machine> {
         let ix = self.machines.find(name)?;
         self.delivery_due.remove(&ix);
@@ -98,6 +98,7 @@
     }
 
     /// Returns the attempts that have ended because their worker's lease has certainly expired.
+    /// Attempts placed for an agent epoch later than the last reported one are not included.
     pub fn expired_attempts(&self, now: Millis) -> Vec<EndedAttempt> {
         let mut expired = Vec::new();
         for (_, machine) in self.machines.iter() {
--- a/src/workers/report.rs
+++ b/src/workers/report.rs
@@ -40,7 +40,7 @@
 pub enum MergeOutcome {
     /// The report is the newest of this machine and was merged.
     Newest(MachineIx),
-    /// The report is older than one that was already merged, so its task list is ignored.
+    /// The report is not newer than the last merged one, so it was ignored.
     Stale,
     /// The worker has seen a higher fencing token than this leader's: there is a newer leader.
     HigherFencingToken,
