--- a/src/persistence/machine_requests.rs
+++ b/src/persistence/machine_requests.rs
@@ -51,8 +51,9 @@
         }
     }
 
-    /// Adds the removal of the keys of answered machine requests. A key is removed only after
-    /// the machines that the cloud created for the request are written.
+    /// Adds the removal of the keys of answered machine requests while the transaction has space.
+    /// A key is removed no earlier than by the transaction that writes the machines that the
+    /// cloud created for the request.
     pub(super) fn add_answered_requests(&mut self, context: &WriteContext<'_>, draft: &mut Draft<'_>) {
         while !context.inventory.has_urgent() && draft.builder.has_space(1, DELETE_BYTES) {
             let Some(answered) = self.answered_requests.pop_front() else {
--- a/src/persistence/next_transaction.rs
+++ b/src/persistence/next_transaction.rs
@@ -76,12 +76,13 @@
     ) {
         let urgent = draft.builder.len();
         let max_changes = limits.total.min(limits.deferrable_cutoff.max(urgent));
-        // Clean-ups come first and get up to half of the cutoff, so that they are never starved.
+        // Clean-ups come first, so that other deferrable changes never starve them, and get at
+        // most half of the cutoff, so that they leave space for these.
         let max_with_clean_ups = urgent + limits.deferrable_cutoff.div_ceil(2);
         draft.builder.limit_changes(max_changes.min(max_with_clean_ups));
         self.add_clean_ups(context, draft);
         draft.builder.limit_changes(max_changes);
-        self.add_changed_chunks(now, context, draft);
+        self.add_deferrable_chunks(now, context, draft);
         add_all_groups(context, draft);
     }
 }
--- a/src/persistence/task_chunks.rs
+++ b/src/persistence/task_chunks.rs
@@ -27,7 +27,7 @@
     }
 
     /// Adds the chunks with deferrable changes that were not written recently.
-    pub(super) fn add_changed_chunks(&mut self, now: Millis, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
+    pub(super) fn add_deferrable_chunks(&mut self, now: Millis, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
         let is_due = |id: &ChunkId| {
             let job = context.jobs.table.get(id.job);
             let chunk = job.and_then(|job| job.chunks.get(id.number as usize));
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Queues these chunks again, since their values were not written.
+    /// Queues these chunks again, all as urgent, since their values were not written.
     pub(super) fn chunks_not_applied(&mut self, chunks: &[ChunkId], context: &mut WriteContext<'_>) {
         for &id in chunks {
             let Some(job) = context.jobs.table.get_mut(id.job) else {
