--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -46,7 +46,7 @@
     job_status_answer(STATUS_CREATED, &job_status(job_id, JobState::Queued))
 }
 
-/// Returns the answer for a job that has ended. Only done jobs have task counts.
+/// Returns the answer for a job that has ended. It contains task counts only if the job is done.
 pub(super) fn ended(job_id: &str, end: EndValue) -> Answer {
     let is_done = end.state == JobState::Done;
     let job = JobStatus {
--- a/src/admission/confirmations.rs
+++ b/src/admission/confirmations.rs
@@ -82,8 +82,8 @@
         served.map(|(&request_id, _)| request_id).collect()
     }
 
-    /// Continues a request after the watch cache has been read more recently than the request
-    /// was received, so that its content may be used for the answer.
+    /// Continues a request whose confirming read has been applied to the watch cache. The cache
+    /// is at least as recent as the request, so it may be used for the answer.
     fn process_confirmed(&mut self, context: &AdmissionContext<'_>, request_id: u64) -> Vec<AdmissionEffect> {
         let Some(request) = self.pending.get(&request_id) else {
             return Vec::new();
--- a/src/admission/pending.rs
+++ b/src/admission/pending.rs
@@ -49,6 +49,8 @@
 }
 
 impl PendingRequest {
+    /// Returns a request received at `now`. The caller sets `awaited`, which initially holds a
+    /// placeholder.
     pub(super) fn new(requester: Requester, job_request: JobRequest, now: Millis) -> PendingRequest {
         PendingRequest {
             requester,
--- a/src/admission/refusal.rs
+++ b/src/admission/refusal.rs
@@ -53,6 +53,7 @@
         }
     }
 
+    /// Returns the answer with this refusal's status and message.
     pub(super) fn answer(&self) -> Answer {
         error_answer(self.status(), &self.to_string())
     }
--- a/src/admission/validation.rs
+++ b/src/admission/validation.rs
@@ -21,7 +21,8 @@
     pub(super) refusal: Refusal,
 }
 
-/// Returns whether the id has the form that the protocol requires: `j-` followed by digits.
+/// Returns whether the id has the form that the protocol requires: `j-` followed by at least
+/// one and at most `MAX_ID_DIGITS` digits.
 pub(super) fn is_valid_id(id: &str) -> bool {
     id.strip_prefix(JOB_ID_PREFIX).is_some_and(|digits| {
         (1..=MAX_ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
@@ -50,6 +51,7 @@
     is_valid_id(id).then(|| id.to_owned())
 }
 
+/// Checks the fields of a submission that the types of [`JobSpec`] do not restrict enough.
 fn check_well_formed(spec: &JobSpec) -> Result<(), Refusal> {
     if !is_valid_id(&spec.id) {
         return Err(Refusal::InvalidId);
