--- a/src/admission/confirmations.rs
+++ b/src/admission/confirmations.rs
@@ -122,7 +122,7 @@
     }
 
     /// Handles the reply to the read of a job's end key. The job key was found missing before
-    /// the read, so a missing end key means that no such job was ever accepted.
+    /// the read, so a missing end key means that no such job had been accepted by then.
     pub fn on_end_read(
         &mut self,
         context: &AdmissionContext<'_>,
--- a/src/admission/end_cache.rs
+++ b/src/admission/end_cache.rs
@@ -1,4 +1,4 @@
-//! A cache of the ends of jobs that users have recently asked about.
+//! A cache of the ends of jobs that users have recently asked about or cancelled.
 
 use crate::store::EndValue;
 use std::collections::{HashMap, VecDeque};
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -7,8 +7,8 @@
 //!
 //! A read can become stale before the answer is sent: its reply can take longer than a
 //! cancellation that was requested later. Therefore every answer to a pending request is
-//! checked against the end of the job that is known by then (`Admission::finish`), and
-//! each end that this controller has reported to a user is cached.
+//! checked against the end of the job that is known by then (`Admission::finish`). For this
+//! check, ends that this controller did not learn from the watch cache are cached.
 //!
 //! Admission does no I/O. Each of its methods returns the [`AdmissionEffect`]s for the
 //! controller to execute. Their replies are passed back with the id of the request.
@@ -119,8 +119,9 @@
     }
 
     /// Returns the answer if it can be given without waiting: the job's end, which is final,
-    /// or the rejection because of too many pending requests. A cancellation that this
-    /// controller has not reported yet must first be confirmed by the other controllers.
+    /// or the rejection because of too many pending requests. A cancellation is answered only
+    /// with a cached end: an end that is only in the watch cache must first be confirmed by the
+    /// other controllers.
     fn immediate_answer(&self, watch_cache: &WatchCache, job_request: &JobRequest) -> Option<Answer> {
         let job_id = &job_request.job_id;
         let end = match job_request.kind {
--- a/src/admission/peer_confirmations.rs
+++ b/src/admission/peer_confirmations.rs
@@ -20,9 +20,9 @@
 const MAX_CONFIRMATION_WAIT_MS: Millis = POLL_TIMEOUT_MS + 100;
 
 impl Admission {
-    /// Asks the reachable controllers to confirm that the job has ended. The user is answered
-    /// once all other controllers, reachable or not, have confirmed it, or after
-    /// `MAX_CONFIRMATION_WAIT_MS`.
+    /// Caches the end and asks the reachable controllers to confirm that the job has ended. The
+    /// user is answered once all other controllers, reachable or not, have confirmed it, or
+    /// after `MAX_CONFIRMATION_WAIT_MS`.
     pub(super) fn request_peer_confirmations(
         &mut self,
         context: &AdmissionContext<'_>,
--- a/src/persistence/next_transaction.rs
+++ b/src/persistence/next_transaction.rs
@@ -16,7 +16,8 @@
     /// Maximum number of changes, from the limits of the state service.
     pub total: usize,
     /// Number of changes up to which deferrable changes are added. It keeps deferrable changes
-    /// from using the write rate that the next starts of tasks need.
+    /// from using the write rate that the next starts of tasks need. It must be at least 1, or a
+    /// clean-up could be removed from the queue without being added.
     pub deferrable_cutoff: usize,
 }
 
@@ -57,7 +58,8 @@
         Some(transaction)
     }
 
-    /// Adds the changes that tasks or users wait for.
+    /// Adds the changes that tasks or users wait for, and the removals of answered machine
+    /// requests.
     fn add_urgent(&mut self, now: Millis, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
         self.add_finished_jobs(context, draft);
         add_urgent_groups(context, draft);
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -20,8 +20,8 @@
 
 impl Workers {
     /// Handles the open attempts that a report does not list. Returns whether the report
-    /// should list one of them because the answer to the previous report contained its start
-    /// command.
+    /// should list one of them because its start command was due in the answer to the previous
+    /// report.
     pub(super) fn handle_missing_attempts(
         &mut self,
         ix: MachineIx,
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -141,7 +141,7 @@
     pub running_since: Option<Millis>,
     /// When a start command was last sent, in the answer to a report or directly.
     pub start_sent_at: Option<Millis>,
-    /// Whether the answer to the machine's last report contained a start command.
+    /// Whether a start command was due in the answer to the machine's last report.
     pub start_in_last_answer: bool,
     /// Seconds that the task may take to save its progress, if the attempt is to stop; `None`
     /// while it is wanted.
