--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -173,7 +173,7 @@
     }
 
     /// Whether the attempt should be started: its record is written, the newest report does
-    /// not list it, and it has not been asked to stop.
+    /// not list it, and it is not to stop.
     pub fn is_start_due(&self) -> bool {
         self.record.is_written() && self.observed_state.is_none() && self.stop_grace_s.is_none()
     }
--- a/src/workers/attribution.rs
+++ b/src/workers/attribution.rs
@@ -3,7 +3,7 @@
 //!
 //! The failure of a job that has succeeded elsewhere counts against the machine. The failure
 //! of a job that has never succeeded counts against the machine only until the job has failed
-//! often enough, on different machines or at different times, to be considered mistaken. From
+//! often enough, on different machines or at different times, to be considered misconfigured. From
 //! then on its failures count against no machine.
 
 use super::{Attempt, Machine, Outcome, Workers};
--- a/src/workers/machine.rs
+++ b/src/workers/machine.rs
@@ -156,7 +156,8 @@
         self.unconfirmed_start_term >= term
     }
 
-    /// Returns when the machine was last known to be up, in this term or before.
+    /// Returns when the last report that was provably sent under this leader arrived, or, if
+    /// there is none, when the machine was first known to be up.
     pub fn last_known_up_at(&self) -> Option<Millis> {
         self.last_report_at.or(self.known_up_at)
     }
