--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -131,7 +131,7 @@
 /// A change seen by a watch: a put, or (without `put`) a removal.
 // The fields are renamed to the protocol's names; those of the other kind are left out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Event {
+pub struct WatchEvent {
     /// Name of the key that was put; absent for a removal.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
@@ -149,11 +149,11 @@
 /// The answer to a watch: every change after the requested revision.
 // The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Log {
+pub struct WatchLog {
     /// Revision of the store up to which the log is complete.
     #[serde(rename = "bookRev")]
     pub revision: u64,
     /// The changes, in the order of their revisions.
     #[serde(rename = "log")]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
