--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -144,7 +144,7 @@
             // After that the machine either reports or becomes silent, so further retries are not
             // urgent. A machine that has not yet been heard from in this term is always retried.
             let is_first_failure = !std::mem::replace(&mut machine.has_unanswered_command, true);
-            if is_first_failure || machine.heard_at.is_none() {
+            if is_first_failure || machine.last_report_at.is_none() {
                 machine.relayed_by = None;
                 self.workers.delivery_due.insert(ix);
             }
@@ -189,7 +189,7 @@
         let commands = self.commands(now, ix);
         let machine = self.workers.machines.get_mut(ix)?;
         let is_responsive =
-            machine.heard_at.is_some() && machine.missed_answers == 0 && !machine.has_unanswered_command;
+            machine.last_report_at.is_some() && machine.missed_answers == 0 && !machine.has_unanswered_command;
         if commands.is_empty() && is_responsive {
             return None;
         }
--- a/src/controller/shard/tests/attribution.rs
+++ b/src/controller/shard/tests/attribution.rs
@@ -178,7 +178,7 @@
     }
     assert!(shard.jobs.table.get(job).expect("known job").is_likely_misconfigured());
     assert!(machine_of(&shard, machine).open.len() <= 1);
-    machine_of_mut(&mut shard, machine).heard_at = Some(500_000);
+    machine_of_mut(&mut shard, machine).last_report_at = Some(500_000);
     shard.plan_fleet(500_000);
     assert!(!machine_of(&shard, machine).decommissioned);
 }
--- a/src/controller/shard/tests/commands.rs
+++ b/src/controller/shard/tests/commands.rs
@@ -2,7 +2,7 @@
 
 use super::worker_fixture::*;
 use crate::wire::{Command, ExitReason, TaskReport, TaskState};
-use crate::workers::{MAX_LISTED_ENDED_TASKS, ReportPath};
+use crate::workers::{MAX_LISTED_EXITED_TASKS, ReportPath};
 
 #[test]
 fn a_worker_may_forget_an_ended_task_only_once_its_end_is_written() {
@@ -30,17 +30,17 @@
         task: format!("j-7/{number}"),
         ..task_report(TaskState::Exited, Some(ExitReason::Done))
     };
-    let few = (0..MAX_LISTED_ENDED_TASKS - 1).map(ended).collect();
+    let few = (0..MAX_LISTED_EXITED_TASKS - 1).map(ended).collect();
     shard.merge_report(10, &report(1, 2, 5, few), ReportPath::Heartbeat);
     assert!(!shard.workers.needs_higher_term);
-    let many = (0..MAX_LISTED_ENDED_TASKS).map(ended).collect();
+    let many = (0..MAX_LISTED_EXITED_TASKS).map(ended).collect();
     shard.merge_report(20, &report(1, 3, 5, many), ReportPath::Heartbeat);
     assert!(shard.workers.needs_higher_term);
     shard.term = 6;
     let forgets = shard.commands(30, machine).into_iter();
     assert_eq!(
         forgets.filter(|c| matches!(c, Command::Forget { .. })).count(),
-        MAX_LISTED_ENDED_TASKS
+        MAX_LISTED_EXITED_TASKS
     );
 }
 
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -134,7 +134,7 @@
 #[test]
 fn only_a_report_of_this_term_makes_a_machine_usable() {
     let (mut shard, machine) = shard_with_worker();
-    machine_of_mut(&mut shard, machine).heard_at = None;
+    machine_of_mut(&mut shard, machine).last_report_at = None;
     shard.merge_report(10, &report(1, 2, 4, Vec::new()), ReportPath::Heartbeat);
     assert!(!usable(&shard, machine, 10));
     shard.merge_report(20, &report(1, 3, 5, Vec::new()), ReportPath::Heartbeat);
--- a/src/controller/shard/tests/scheduling.rs
+++ b/src/controller/shard/tests/scheduling.rs
@@ -40,7 +40,7 @@
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
     let machine_state = shard.workers.machines.get_mut(machine).expect("known machine");
     machine_state.is_persisted = true;
-    machine_state.heard_at = Some(NOW);
+    machine_state.last_report_at = Some(NOW);
     machine_state.report_due = NOW + 10_000;
     let job = shard.jobs.table.find("j-2").expect("known job");
     for task in 0..2 {
--- a/src/workers/absence.rs
+++ b/src/workers/absence.rs
@@ -7,7 +7,7 @@
 /// What follows from the absence of an open attempt from a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Absence {
-    /// The attempt is still wanted or may still start.
+    /// Nothing follows: the attempt is still wanted or may still start.
     Inconclusive,
     /// The attempt has ended: the worker dropped all tasks of its earlier agent epochs.
     EpochEnded,
@@ -20,8 +20,8 @@
 
 impl Workers {
     /// Handles the open attempts that a report does not list. Returns whether the report
-    /// should list one of them because the answer to the previous report contained its start
-    /// command.
+    /// should list one of them because its start command was due in the answer to the previous
+    /// report.
     pub(super) fn handle_missing_attempts(
         &mut self,
         ix: MachineIx,
@@ -58,7 +58,7 @@
         }
         self.clear_observed_state();
         let is_unwanted = self.stop_grace_s.is_some() && self.record.is_written();
-        if !is_unwanted || !self.has_answered_start_expired(received.now) {
+        if !is_unwanted || !self.has_start_in_answer_expired(received.now) {
             return Absence::Inconclusive;
         }
         if !machine.may_receive_direct_start(received.report.fencing_token) {
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -8,13 +8,14 @@
 //! - the worker has begun a later agent epoch,
 //! - the machine is deleted,
 //! - the worker's lease has certainly expired,
-//! - the attempt is no longer wanted, and no start command for it can still arrive.
+//! - the attempt is no longer wanted, and no start command for it can still arrive. Unless
+//!   the job has ended, the attempt's record is removed before the attempt is closed.
 //!
 //! Commands are always derived from the open attempts and the newest report, so repeating them
 //! requires no additional state.
 //!
-//! Consequences for other parts of the shard's state are returned as values, which the shard
-//! applies.
+//! The consequences of a report for other parts of the shard's state are returned as values,
+//! which the shard applies.
 
 mod absence;
 mod attempt;
@@ -41,7 +42,7 @@
 pub use delivery::Delivery;
 pub use machine::{MISSED_ANSWERS_TO_CORDON, MISSED_ANSWERS_TO_DECOMMISSION, Machine};
 #[cfg(test)]
-pub(crate) use merge::MAX_LISTED_ENDED_TASKS;
+pub(crate) use merge::MAX_LISTED_EXITED_TASKS;
 pub use registry::Workers;
 pub use report::{MergeOutcome, MergedReport, ReceivedReport, ReportPath};
 pub use task_name::{parse_task_name, task_name};
