--- a/benches/costs/harness/mod.rs
+++ b/benches/costs/harness/mod.rs
@@ -104,7 +104,7 @@
         agent_epoch: 1,
         seq,
         fencing_token: TERM,
-        notice_s: None,
+        reclaim_in_s: None,
         tasks: tasks.collect(),
     }
 }
--- a/src/controller/shard/tests/worker_fixture.rs
+++ b/src/controller/shard/tests/worker_fixture.rs
@@ -39,7 +39,7 @@
         agent_epoch,
         seq,
         fencing_token,
-        notice_s: None,
+        reclaim_in_s: None,
         tasks,
     }
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -100,7 +100,7 @@
     pub fencing_token: u64,
     /// Seconds until the cloud reclaims the machine; absent if it has not announced that.
     #[serde(rename = "recallS", default)]
-    pub notice_s: Option<f64>,
+    pub reclaim_in_s: Option<f64>,
     /// All attempts on the machine, including exited ones without a [`Command::Forget`] so far.
     #[serde(rename = "lots")]
     pub tasks: Vec<TaskReport>,
--- a/src/workers/merge.rs
+++ b/src/workers/merge.rs
@@ -63,7 +63,7 @@
         } else {
             machine.known_up_at.get_or_insert(received.now);
         }
-        machine.spot_reclaim_at = report.notice_s.map(|left| received.now + crate::millis(left));
+        machine.spot_reclaim_at = report.reclaim_in_s.map(|left| received.now + crate::millis(left));
         if is_new_epoch {
             machine.begin_agent_epoch(received, self.lease_expiry_ms);
         }
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -78,7 +78,7 @@
         agent_epoch: 1,
         seq: 1 + tasks.len() as u64,
         fencing_token: 3,
-        notice_s: None,
+        reclaim_in_s: None,
         tasks,
     }
 }
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -108,7 +108,7 @@
             agent_epoch: self.agent_epoch,
             seq: self.seq,
             fencing_token: self.fencing_token,
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: self
                 .tasks
                 .iter()
