--- a/src/controller/shard/attempts.rs
+++ b/src/controller/shard/attempts.rs
@@ -14,8 +14,8 @@
 const MAX_AVOIDED_MACHINES: usize = 3;
 
 impl Shard {
-    /// Closes an attempt that has provably ended: releases its resources, records the outcome and
-    /// queues the writes that follow.
+    /// Closes an attempt that has provably ended or can't start any more: releases its resources,
+    /// records the outcome and queues the writes that follow.
     pub fn close_attempt(&mut self, now: Millis, ix: AttemptIx, outcome: Outcome) {
         let Some(attempt) = self.workers.attempts.remove(ix) else {
             return;
--- a/src/controller/shard/jobs.rs
+++ b/src/controller/shard/jobs.rs
@@ -17,6 +17,8 @@
         }
     }
 
+    /// Adds a job, and queues its clean-up if it has already ended. Logs an error if the job can't be
+    /// added.
     fn add_job(&mut self, id: &str, key: &JobKey, version: u64) {
         match self.jobs.add(id, key, version, &mut self.topology) {
             Ok(ix) if key.ended.is_some() => self.pending_writes.queue_clean_up(ix),
@@ -25,6 +27,8 @@
         }
     }
 
+    /// Updates a known job from a newer version of its key, and stops its attempts if it was
+    /// cancelled.
     fn update_job(&mut self, now: Millis, ix: JobIx, key: &JobKey, version: u64) {
         let Some(job) = self.jobs.table.get_mut(ix) else {
             return;
@@ -42,10 +46,12 @@
         }
     }
 
-    /// Removes jobs whose keys have been deleted. An old event, read before a job's last clean-up
-    /// and applied after it, may have added the job again, but no write for it could succeed any
-    /// more. Must not be called while a transaction is in flight, since the transaction
-    /// refers to jobs by index.
+    /// Removes jobs whose keys have been deleted. A watch event that is read before a job's
+    /// clean-up and applied after it adds the job again, although no write for it can succeed. If a
+    /// job still has open attempts, it is kept and a higher term is requested.
+    ///
+    /// Must not be called while a transaction is in flight, since the transaction refers to jobs
+    /// by index.
     pub fn forget_deleted_jobs(&mut self) {
         for id in self.jobs.take_deleted() {
             let Some(job) = self.jobs.find(&id) else {
@@ -60,7 +66,7 @@
         }
     }
 
-    /// Removes a job for which nothing is left to write.
+    /// Removes a job whose key has been deleted, and discards its pending writes.
     pub fn remove_job(&mut self, id: &str) {
         let Some(ix) = self.jobs.table.find(id) else {
             return;
--- a/src/controller/shard/loading.rs
+++ b/src/controller/shard/loading.rs
@@ -36,6 +36,7 @@
         }
     }
 
+    /// Loads a machine that the stored inventory lists.
     fn load_machine(&mut self, now: Millis, group_ix: GroupIx, member: InventoryMember) {
         let InventoryMember {
             name, address, spot, ..
@@ -92,7 +93,7 @@
         Ok(())
     }
 
-    /// Loads an attempt that the former leader left open.
+    /// Loads an attempt that was open when its chunk was last written. It may still be running.
     fn load_attempt(&mut self, now: Millis, job_ix: JobIx, record: &OpenAttemptRecord) {
         let Some(machine_ix) = self.workers.machines.find(&record.machine) else {
             // A machine is removed from the inventory only after the cloud has confirmed its
@@ -117,8 +118,8 @@
         self.jobs.quota_mut(team).used.add(resources);
     }
 
-    /// Completes loading: queues the clean-ups of ended jobs and the ends of complete jobs, since
-    /// no later event would queue them.
+    /// Completes loading: queues the clean-ups of ended jobs without open attempts, and the ends of
+    /// complete jobs, since no later event would queue them.
     pub fn finish_loading(&mut self) {
         for (ix, job) in self.jobs.table.iter() {
             if job.ended.is_some() {
@@ -136,8 +137,8 @@
 fn attempt_from_record(job_ix: JobIx, job: &Job, machine: MachineIx, record: &OpenAttemptRecord) -> Attempt {
     Attempt {
         record: RecordState::Written,
-        // The start is not stored. The earliest possible time is assumed, because a task that
-        // may have run for long must not be stopped as if it had just started.
+        // The start time is not stored. The earliest possible time is assumed, because a task
+        // that may have run for long must not be stopped as if it had just started.
         running_since: Some(0),
         stop_grace_s: job.ended.is_some().then_some(0.0),
         ..Attempt::new(job_ix, record.task, record.attempt, machine, record.agent_epoch)
--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -19,8 +19,9 @@
     }
 
     /// Adds a machine that is known only from a report. The report may be a delayed copy from a
-    /// machine that was returned long ago. The machine is therefore neither used nor counted as
-    /// capacity until the cloud lists it or its worker replies to a direct command.
+    /// machine that was deleted long ago. The machine is therefore neither used nor counted as
+    /// capacity until the cloud lists it or its worker replies to the direct command that is sent
+    /// next.
     pub fn add_unverified_machine(&mut self, now: Millis, report: &Report) -> MachineIx {
         let offer = self.offer(&report.machine_type, &report.zone, report.spot);
         let machine = Machine::new(&report.machine, offer, now);
@@ -59,6 +60,8 @@
         self.workers.expire_tombstones(now);
     }
 
+    /// Removes a deleted machine from the registry, the inventory and the jobs that avoid it. All
+    /// attempts on it are lost.
     fn remove_deleted_machine(&mut self, now: Millis, name: &str, ix: MachineIx) {
         let Some(machine) = self.workers.machines.get(ix) else {
             return;
@@ -89,6 +92,7 @@
         }
     }
 
+    /// Adds or updates a machine from its entry in the cloud's list, which shows that it exists.
     fn merge_listed_machine(&mut self, now: Millis, listed: &ListedMachine) {
         let ix = match self.workers.machines.find(&listed.id) {
             Some(ix) => ix,
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -21,11 +21,12 @@
 use crate::wire::Catalogue;
 use crate::workers::Workers;
 
-/// The leader's state of its shard. It is created anew for each term.
+/// The leader's state of its shard. A new leader creates it and loads it from the state service. A
+/// raise of the term keeps it, unless the raise is to reload the shard.
 pub struct Shard {
     /// The shard's name, which is part of its keys in the state service.
     pub name: String,
-    /// The term in which this leader was elected.
+    /// The term under which this leader holds its claim. It increases when the leader raises its term.
     pub term: u64,
     /// The operator's policy for placement and scaling.
     pub policy: Policy,
--- a/src/controller/shard/reports.rs
+++ b/src/controller/shard/reports.rs
@@ -15,11 +15,12 @@
         }
         let ix = match self.workers.machines.find(&report.machine) {
             Some(ix) => ix,
-            // No request known to this leader provisioned the machine, or one did so late. The
-            // machine is used, or returned once idle, like any other.
+            // The machine was provisioned late or by a request that this leader does not know of.
+            // Once verified, it is used, or decommissioned when idle, like any other.
             None => self.add_unverified_machine(now, report),
         };
         if path == ReportPath::CommandReply {
+            // Only a machine that exists replies to a command.
             self.add_to_inventory(ix);
         }
         let received = ReceivedReport {
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Stops tasks on machines that the cloud is about to reclaim, in time before the reclaim.
+    /// Stops tasks on machines that the cloud is about to reclaim, with time to save their progress
+    /// where possible.
     pub fn drain(&mut self, now: Millis) {
         self.workers.drain(now, &self.jobs);
     }
--- a/src/controller/shard/scheduling.rs
+++ b/src/controller/shard/scheduling.rs
@@ -14,7 +14,8 @@
         self.pending_writes.queue_urgent_chunks(chunks);
     }
 
-    /// Stops tasks of lower priority to make room for jobs that have waited for it too long.
+    /// Stops tasks of lower priority to make room for jobs that have waited too long for room. Does
+    /// nothing until the next preemption round is due.
     pub fn preempt(&mut self, now: Millis) {
         let cluster = Cluster {
             now: Now {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Stops an attempt that was chosen for preemption.
+    /// Stops an attempt that was chosen for preemption. Closes it immediately if it is only planned.
     fn stop_victim(&mut self, now: Millis, attempt_ix: AttemptIx) {
         let Some(attempt) = self.workers.attempts.get_mut(attempt_ix) else {
             return;
--- a/src/controller/shard/transactions.rs
+++ b/src/controller/shard/transactions.rs
@@ -17,9 +17,9 @@
     /// Builds the next transaction and marks it as in flight. Returns `None` if a transaction is
     /// already in flight or there is nothing to write.
     ///
-    /// The transaction has at most `max_changes` changes. Changes that nothing waits for are
-    /// added only up to `max_deferrable_changes`, so that they never delay the next starts of
-    /// tasks.
+    /// The transaction has at most `max_changes` changes. Changes that nothing waits for are added
+    /// only while it has fewer than `max_deferrable_changes` changes in total, so that they never
+    /// delay the next starts of tasks.
     pub fn next_transaction(
         &mut self,
         now: Millis,
