--- a/src/controller/shard/tests.rs
+++ b/src/controller/shard/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the shard's operations, and a shard with one job that they start from.
+
 mod answers;
 mod attempts;
 mod attribution;
--- a/src/controller/shard/tests/answers.rs
+++ b/src/controller/shard/tests/answers.rs
@@ -59,8 +59,7 @@
 
 /// Guards against a machine that stays idle forever. Its lease expired soon after an answer, so no
 /// later report had to show an effect, and every answer dropped the direct command whose reply
-/// would have reset the missed answers (random faults of `meetings`,
-/// seed 216).
+/// would have reset the missed answers (random faults of `meetings`, seed 216).
 #[test]
 fn a_machine_whose_lease_expired_is_contacted_directly_and_used_again() {
     let (mut shard, machine) = shard_with_worker();
--- a/src/controller/shard/tests/attempts.rs
+++ b/src/controller/shard/tests/attempts.rs
@@ -74,8 +74,8 @@
     assert_eq!(open_attempt_count(&shard), 1);
 }
 
-/// Guards against the index of a removed job that stays in the pending writes. The index was reused
-/// for a smaller job, and writing the chunk, which that job does not have, ended the process.
+/// Guards against leaving the index of a removed job in the pending writes. The index was reused for
+/// a smaller job, and writing a chunk that this job does not have ended the process.
 #[test]
 fn a_removed_job_leaves_no_pending_writes() {
     let (mut shard, _) = shard_with_worker();
@@ -93,8 +93,8 @@
     assert!(!shard.pending_writes.has_job_changes());
 }
 
-/// Merges a report of `host-1` that lists the task's attempt there as stopped. No later report of
-/// this machine is ever overdue.
+/// Merges a report of `host-1` that lists the task's attempt there as stopped. Also sets
+/// `report_due` so that no later report of this machine counts as overdue.
 fn report_stopped_attempt(shard: &mut Shard) {
     let ended = task_report(TaskState::Exited, Some(ExitReason::Stopped));
     shard.merge_report(10, &report(1, 2, 5, vec![ended]), ReportPath::Heartbeat);
@@ -108,8 +108,8 @@
 ///
 /// The job had failed on three of the four machines that fit it. The fourth machine listed the
 /// earlier attempt of the job's next task, so every round chose this machine without using it.
-/// Choosing it counted as having found room and so reset `shortage_since` in every round, and the
-/// job never became free to return to the other three machines.
+/// Choosing it counted as having found room and so reset `shortage_since` in every round. The job
+/// therefore never stopped avoiding the other three machines.
 #[test]
 fn choosing_a_machine_that_lists_an_earlier_attempt_does_not_end_a_shortage() {
     let mut shard = shard_with(5, &[("small", 8.0)], 1, false);
--- a/src/controller/shard/tests/attribution.rs
+++ b/src/controller/shard/tests/attribution.rs
@@ -11,7 +11,7 @@
 const FIRST_MACHINE: MachineIx = MachineIx(0);
 
 /// Returns a shard with six machines and six jobs of one task each.
-fn six_machines() -> Shard {
+fn shard_with_six_machines() -> Shard {
     let mut shard = shard_with(1, &[("small", 8.0)], 1, true);
     let first = shard.jobs.table.find("j-1").expect("known job");
     let spec = shard.jobs.table.get(first).expect("known job").spec.clone();
@@ -47,10 +47,10 @@
 }
 
 /// Guards against decommissioning machines because of jobs that were submitted with a mistake. Many
-/// such jobs come at once, and each of them fails on one machine after the other.
+/// such jobs arrive at once, and each of them fails on one machine after the other.
 #[test]
 fn machines_stay_healthy_when_many_jobs_fail_on_all_of_them() {
-    let mut shard = six_machines();
+    let mut shard = shard_with_six_machines();
     for round in 0..MACHINES {
         for job in shard.jobs.table.indices() {
             let machine = (job.usize() + round) % MACHINES;
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_machine_on_which_three_jobs_fail_is_unhealthy() {
-    let mut shard = six_machines();
+    let mut shard = shard_with_six_machines();
     let jobs = shard.jobs.table.indices();
     for (count, &job) in jobs.iter().enumerate().take(UNHEALTHY_AFTER_FAILING_JOBS) {
         assert!(
@@ -113,11 +113,11 @@
     );
 }
 
-/// Guards against taking a job for mistaken because an unhealthy machine fails several of its tasks
-/// at once.
+/// Guards against considering a job misconfigured because an unhealthy machine fails several of its
+/// tasks at once.
 #[test]
 fn simultaneous_failures_on_one_machine_count_once_against_the_job() {
-    let mut shard = six_machines();
+    let mut shard = shard_with_six_machines();
     let job = shard.jobs.table.find("j-1").expect("known job");
     for _ in 0..8 {
         open_and_fail(&mut shard, 1_000, job, FIRST_MACHINE);
@@ -134,7 +134,7 @@
     );
 }
 
-/// Places another task of the only job, and closes it as failed.
+/// Runs a placement round and closes the machine's first open attempt as failed.
 fn place_and_fail(shard: &mut Shard, machine: MachineIx, now: Millis) {
     shard.place(now);
     let attempt = machine_of(shard, machine).open[0];
--- a/src/controller/shard/tests/reports.rs
+++ b/src/controller/shard/tests/reports.rs
@@ -7,7 +7,7 @@
 use crate::wire::{Change, Command, Condition, ExitReason, Report, TaskState};
 use crate::workers::{MergeOutcome, ReportPath};
 
-const MINUTE: Millis = 60_000;
+const MINUTE_MS: Millis = 60_000;
 
 #[test]
 fn absence_from_a_report_proves_nothing_while_a_start_may_arrive() {
@@ -20,12 +20,12 @@
         .expect("open attempt")
         .stop_grace_s = Some(0.0);
     machine_of_mut(&mut shard, machine).unconfirmed_start_term = 5;
-    shard.merge_report(MINUTE, &report(1, 2, 5, Vec::new()), ReportPath::Heartbeat);
+    shard.merge_report(MINUTE_MS, &report(1, 2, 5, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(open_attempt_count(&shard), 1);
     assert!(shard.workers.needs_higher_term);
     // Once the worker has seen a higher fencing token, it rejects start commands of earlier terms.
     shard.term = 6;
-    shard.merge_report(MINUTE, &report(1, 3, 6, Vec::new()), ReportPath::Heartbeat);
+    shard.merge_report(MINUTE_MS, &report(1, 3, 6, Vec::new()), ReportPath::Heartbeat);
     assert_closed_once_its_record_is_removed(&mut shard);
 }
 
@@ -44,7 +44,7 @@
     let used = shard.jobs.team_quotas[0].used.cpus;
     assert!(used > 0.0 && shard.has_urgent_writes());
     let transaction = shard
-        .next_transaction(MINUTE, &keys, claim.clone(), 48, 48)
+        .next_transaction(MINUTE_MS, &keys, claim.clone(), 48, 48)
         .expect("a transaction");
     let record = transaction.changes.iter().find_map(|change| match change {
         Change::Put { put, value, .. } if *put == keys.task_chunk("j-1", 0) => Some(value["open"].clone()),
@@ -58,13 +58,13 @@
         (1, used)
     );
     shard
-        .next_transaction(MINUTE, &keys, claim, 48, 48)
+        .next_transaction(MINUTE_MS, &keys, claim, 48, 48)
         .expect("another transaction");
     assert_eq!(
         (open_attempt_count(shard), shard.jobs.team_quotas[0].used.cpus),
         (1, used)
     );
-    shard.committed(MINUTE, 9);
+    shard.committed(MINUTE_MS, 9);
     assert_eq!(
         (open_attempt_count(shard), shard.jobs.team_quotas[0].used.cpus),
         (0, 0.0)
@@ -84,10 +84,10 @@
         .expect("open attempt")
         .stop_grace_s = Some(0.0);
     machine_of_mut(&mut shard, machine).unconfirmed_start_term = 4;
-    shard.merge_report(MINUTE, &report(1, 2, 4, Vec::new()), ReportPath::Heartbeat);
+    shard.merge_report(MINUTE_MS, &report(1, 2, 4, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(open_attempt_count(&shard), 1);
     assert!(!shard.workers.needs_higher_term);
-    shard.merge_report(MINUTE, &report(1, 3, 5, Vec::new()), ReportPath::Heartbeat);
+    shard.merge_report(MINUTE_MS, &report(1, 3, 5, Vec::new()), ReportPath::Heartbeat);
     assert!(!shard.workers.needs_higher_term);
     assert_closed_once_its_record_is_removed(&mut shard);
 }
@@ -129,8 +129,8 @@
     assert_eq!(open_attempt_count(&shard), 0);
 }
 
-/// Guards against delayed copies of reports, from which a new leader concluded that a deleted
-/// machine was in use, and placed tasks on it.
+/// Guards against placing tasks on a deleted machine, after a new leader concluded from a delayed
+/// copy of a report that the machine was up.
 #[test]
 fn only_a_report_of_this_term_makes_a_machine_usable() {
     let (mut shard, machine) = shard_with_worker();
@@ -141,23 +141,23 @@
     assert!(usable(&shard, machine, 20));
 }
 
-/// Guards against adding a machine again that was returned so long ago that its deletion is
-/// forgotten. A report alone, even one of this term, does not put it into the inventory, and it is
+/// Guards against adding a machine again that was deleted so long ago that its tombstone has
+/// expired. A report alone, even one of this term, does not put it into the inventory, and it is
 /// not counted when machines are requested.
 #[test]
 fn a_machine_known_only_from_reports_is_not_used_until_it_replies_to_a_command() {
     let (mut shard, _) = shard_with_worker();
-    let copy = |seq| Report {
+    let report_of_host_9 = |seq| Report {
         machine: "host-9".into(),
         ..report(1, seq, 5, Vec::new())
     };
-    shard.merge_report(10, &copy(7), ReportPath::Heartbeat);
+    shard.merge_report(10, &report_of_host_9(7), ReportPath::Heartbeat);
     let ix = shard.workers.machines.find("host-9").expect("known machine");
     assert_eq!(machine_of(&shard, ix).group, None);
     assert!(!usable(&shard, ix, 10));
     // A direct command is sent to it, and the reply proves that the machine exists.
     assert!(shard.workers.delivery_due.contains(&ix));
-    shard.merge_report(20, &copy(8), ReportPath::CommandReply);
+    shard.merge_report(20, &report_of_host_9(8), ReportPath::CommandReply);
     assert!(machine_of(&shard, ix).group.is_some());
 }
 
--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -1,4 +1,4 @@
-//! Health checks, the forecast and machine purchases through the shard's operations.
+//! Health checks, the forecast and requests for machines through the shard's operations.
 
 use super::*;
 use crate::fleet::demand::CapacityNeed;
@@ -7,6 +7,7 @@
 use crate::resources::Offer;
 use std::collections::BTreeSet;
 
+/// Updates the forecast and returns the tasks of each class to have capacity for.
 fn forecast(shard: &mut Shard, now: Millis) -> Vec<CapacityNeed> {
     let (fleet, context) = shard.fleet_and_context(now);
     fleet.update_forecast(&context)
@@ -84,9 +85,11 @@
         shard.wall_clock = wall_clock;
         forecast(&mut shard, wall_clock)[0].on_demand_count
     };
-    // The tasks run for 5 s each and have 20 s left, which is enough for five rounds.
+    // The tasks run for 5 s each and the last ones may start in 20 s, so a machine's room can be used
+    // by five tasks in turn.
     assert_eq!(on_demand_count(60_000, 40_000), 4);
-    // The objective is shorter than the boot time of 5 s.
+    // The objective of 4 s is shorter than the boot time of 5 s, so the tasks can't run in turn. Some
+    // of them finish or start on existing machines before a new machine would pay off.
     assert_eq!(on_demand_count(4_000, 1_000), 14);
 }
 
@@ -163,6 +166,7 @@
     assert_eq!(planned_machines(&mut shard, 14_000), 1);
     shard.workers.machines.get_mut(ix).expect("known machine").heard_at = None;
     let unresponsive_after_ms = shard.fleet_and_context(0).1.unresponsive_after_ms();
+    // A boot times out after three boot times of 5 s and another 10 s.
     let boot_timeout_ms = shard.workers.lease_expiry_ms.max(25_000) + unresponsive_after_ms;
     shard.decommission_failed(boot_timeout_ms + 1);
     assert!(shard.workers.machines.get(ix).expect("known machine").decommissioned);
--- a/src/controller/shard/tests/scheduling.rs
+++ b/src/controller/shard/tests/scheduling.rs
@@ -16,9 +16,9 @@
 
 const NOW: Millis = 400_000;
 
-/// Returns the key of a best-effort job of two tasks, each of which requires 8 CPUs and runs for
-/// eight minutes. `saves` says whether the tasks can save their progress.
-fn backfill(id: &str, saves: bool) -> JobKey {
+/// Returns the value of the key of a best-effort job of two tasks, each of which requires 8 CPUs and
+/// runs for eight minutes. `saves` says whether the tasks can save their progress.
+fn backfill_job_key(id: &str, saves: bool) -> JobKey {
     let spec: JobSpec = serde_json::from_value(json!({"id":id,"lotType":"backfill","consignor":"floor",
         "saleFormat":"array","bidRank":"low","lots":2,"cores":8.0,"cards":0.0,"memGb":8.0,"catalog":"img",
         "pullGb":1.0,"oneZone":false,"scatter":false,"loaner":true,"appraisedS":480.0,
@@ -33,10 +33,10 @@
 
 /// Returns a shard with one machine of 16 CPUs, which is full of backfill tasks that have run for
 /// five minutes, and a high-priority job (`j-1`, 4 CPUs per task) that has waited for a second.
-fn full_machine(saves: bool) -> Shard {
+fn shard_with_full_machine(saves: bool) -> Shard {
     let mut shard = shard_with(1, &[("large", 16.0)], 1, true);
     shard.wall_clock = NOW;
-    shard.job_changed(0, "j-2", &backfill("j-2", saves), 2);
+    shard.job_changed(0, "j-2", &backfill_job_key("j-2", saves), 2);
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
     let machine_state = shard.workers.machines.get_mut(machine).expect("known machine");
     machine_state.is_persisted = true;
@@ -73,7 +73,7 @@
 /// stopped, however long it has run.
 #[test]
 fn a_task_that_can_save_is_preempted_with_time_to_save_however_long_it_ran() {
-    let mut shard = full_machine(true);
+    let mut shard = shard_with_full_machine(true);
     shard.preempt(NOW);
     assert_eq!(stop_grace_periods(&shard), [3.0], "one is enough for a task of 4 CPUs");
     shard.preempt(NOW + PREEMPTION_INTERVAL_MS);
@@ -86,22 +86,23 @@
 
 #[test]
 fn a_task_that_cannot_save_and_has_run_long_is_not_preempted() {
-    let mut shard = full_machine(false);
+    let mut shard = shard_with_full_machine(false);
     shard.preempt(NOW);
     assert!(stop_grace_periods(&shard).is_empty());
 }
 
-/// Guards against a best-effort job that precedes all urgent jobs because of its age with all of its
-/// tasks at once.
+/// Guards against a best-effort job that has waited so long that it gets age priority, and then
+/// starts all its tasks before those of urgent jobs. It has age priority only while none of its
+/// tasks is open.
 #[test]
 fn a_best_effort_job_has_age_priority_only_until_one_task_is_open() {
     let mut shard = shard_with(1, &[("large", 16.0)], 1, true);
-    shard.job_changed(0, "j-2", &backfill("j-2", true), 2);
+    shard.job_changed(0, "j-2", &backfill_job_key("j-2", true), 2);
     let job = shard.jobs.table.find("j-2").expect("known job");
     let machine = shard.add_machine(0, "host-1", "large", "north", true);
     assert!(shard.jobs.table.get(job).expect("known job").has_age_priority(NOW));
     shard.open_attempt(job, 0, machine);
     let job_state = shard.jobs.table.get(job).expect("known job");
     assert!(!job_state.has_age_priority(NOW));
-    assert!(job_state.can_restart_in_time(NOW), "it is never due");
+    assert!(job_state.can_restart_in_time(NOW), "a best-effort job has no due time");
 }
--- a/src/controller/shard/tests/transactions.rs
+++ b/src/controller/shard/tests/transactions.rs
@@ -101,7 +101,7 @@
 
 /// Returns a shard with a finished job whose end is not written yet. Chunks 1 to 3 of the job are
 /// stored in the state service.
-fn finished_shard() -> Shard {
+fn shard_with_finished_job() -> Shard {
     let mut shard = shard_with_open_tasks(1);
     let job = shard.jobs.table.find("j-1").expect("known job");
     let attempt = open_attempts(&shard)[0];
@@ -117,7 +117,7 @@
 
 #[test]
 fn the_end_of_a_job_is_written_before_the_job_is_cleaned_up_and_removed() {
-    let mut shard = finished_shard();
+    let mut shard = shard_with_finished_job();
     let end = next_transaction(&mut shard, MAX_CHANGES).expect("a transaction");
     assert_eq!(put_keys(&end), [keys().end("j-1"), keys().job("j-1")]);
     assert!(deleted_keys(&end).is_empty());
@@ -134,10 +134,11 @@
     assert!(next_transaction(&mut shard, MAX_CHANGES).is_none());
 }
 
-/// Clean-ups get up to half of the changes that a transaction may have.
+/// A clean-up gets up to half of the changes to which deferrable changes are limited, here two of
+/// four.
 #[test]
 fn a_clean_up_continues_where_the_last_transaction_stopped() {
-    let mut shard = finished_shard();
+    let mut shard = shard_with_finished_job();
     next_transaction(&mut shard, MAX_CHANGES).expect("a transaction");
     shard.committed(10_000, 9);
     let first = next_transaction(&mut shard, 4).expect("a transaction");
