--- a/benches/costs/follower_costs.rs
+++ b/benches/costs/follower_costs.rs
@@ -10,8 +10,8 @@
 }
 
 /// Relays 64 reports to the leader: decodes the JSON of each report, encodes the frame, decodes
-/// the frame with the replies, and encodes each answer as JSON. Encoding the frame with the replies
-/// is included, the HTTP library is not.
+/// the frame with the replies, and encodes each answer as JSON. The measured time also includes
+/// encoding the frame with the replies, but not the HTTP library.
 #[divan::bench]
 fn relayed_reports_64(bencher: Bencher<'_, '_>) {
     let body = json_report(1_000);
--- a/benches/costs/harness/mod.rs
+++ b/benches/costs/harness/mod.rs
@@ -17,9 +17,10 @@
 pub const MACHINES: usize = 2_000;
 /// The number of unfinished jobs of the deployment.
 pub const JOBS: usize = 400;
-/// The number of tasks of each job, of which some are open and the others have not started.
+/// The number of tasks of each job, of which some are open and the others have not started. All of
+/// them are in one chunk.
 pub const TASKS_PER_JOB: u32 = 45;
-/// The number of open tasks on each machine. Each job has one chunk, which names its open tasks.
+/// The number of open tasks on each machine.
 pub const TASKS_PER_MACHINE: usize = 4;
 /// The number of machines in an inventory group.
 const MACHINES_PER_GROUP: usize = 64;
@@ -190,7 +191,7 @@
         harness
     }
 
-    /// Receives a heartbeat of the peer `n1`, which leads under `leading_term` if given.
+    /// Passes the controller a heartbeat of the peer `n1`, which leads under `leading_term` if given.
     fn heartbeat(&mut self, leading_term: Option<u64>) {
         let message = Message::Heartbeat {
             node: "n1".into(),
