--- a/src/controller/shard/tests/scaling.rs
+++ b/src/controller/shard/tests/scaling.rs
@@ -40,7 +40,7 @@
         let machine = shard.workers.machines.get_mut(ix).expect("known machine");
         // One machine of `south` and all of `north` stop reporting. Those of `north` become
         // unresponsive one after the other, since their last reports were not sent together.
-        machine.heard_at = Some(match index {
+        machine.last_report_at = Some(match index {
             0..=3 => index * 1_000,
             4 => 0,
             _ => 60_000,
@@ -98,9 +98,14 @@
 #[test]
 fn machines_count_as_unresponsive_only_after_the_leader_receives_reports_again() {
     let mut shard = shard_with(1, &[("small", 8.0)], 1, true);
-    for (name, heard_at) in [("host-1", Some(0)), ("host-2", Some(0)), ("host-3", None)] {
+    for (name, last_report_at) in [("host-1", Some(0)), ("host-2", Some(0)), ("host-3", None)] {
         let ix = shard.add_machine(0, name, "small", "north", true);
-        shard.workers.machines.get_mut(ix).expect("known machine").heard_at = heard_at;
+        shard
+            .workers
+            .machines
+            .get_mut(ix)
+            .expect("known machine")
+            .last_report_at = last_report_at;
     }
     let unresponsive_after_ms = crate::millis(shard.policy.silent_reports * shard.workers.report_s * 1.25);
     shard.workers.receiving_reports_since = 300_000;
@@ -162,9 +167,19 @@
         "it may still come up"
     );
     // If the machine comes up after all, it counts like any other.
-    shard.workers.machines.get_mut(ix).expect("known machine").heard_at = Some(14_000);
+    shard
+        .workers
+        .machines
+        .get_mut(ix)
+        .expect("known machine")
+        .last_report_at = Some(14_000);
     assert_eq!(planned_machines(&mut shard, 14_000), 1);
-    shard.workers.machines.get_mut(ix).expect("known machine").heard_at = None;
+    shard
+        .workers
+        .machines
+        .get_mut(ix)
+        .expect("known machine")
+        .last_report_at = None;
     let unresponsive_after_ms = shard.fleet_and_context(0).1.unresponsive_after_ms();
     // A boot times out after three boot times of 5 s and another 10 s.
     let boot_timeout_ms = shard.workers.lease_expiry_ms.max(25_000) + unresponsive_after_ms;
