--- a/src/controller/shard/machines.rs
+++ b/src/controller/shard/machines.rs
@@ -60,8 +60,8 @@
         self.workers.expire_tombstones(now);
     }
 
-    /// Removes a deleted machine from the registry, the inventory and the jobs that avoid it. All
-    /// attempts on it are lost.
+    /// Removes a deleted machine from the table of machines, from the inventory and from the jobs
+    /// that avoid it. All attempts on it are lost.
     fn remove_deleted_machine(&mut self, now: Millis, name: &str, ix: MachineIx) {
         let Some(machine) = self.workers.machines.get(ix) else {
             return;
--- a/src/controller/shard/reports.rs
+++ b/src/controller/shard/reports.rs
@@ -49,7 +49,8 @@
         self.workers.answer_commands(now, self.term, ix, &self.jobs)
     }
 
-    /// Returns the commands that a machine's worker should receive now, in order.
+    /// Returns the commands that a machine's worker should receive now, in order, and records when
+    /// start commands were last sent.
     pub fn commands(&mut self, now: Millis, ix: MachineIx) -> Vec<Command> {
         self.workers.commands(now, self.term, ix, &self.jobs)
     }
--- a/src/controller/shard/tests/commands.rs
+++ b/src/controller/shard/tests/commands.rs
@@ -5,11 +5,11 @@
 use crate::workers::{MAX_LISTED_EXITED_TASKS, ReportPath};
 
 #[test]
-fn a_worker_may_forget_an_ended_task_only_once_its_end_is_written() {
+fn a_worker_may_forget_an_exited_task_only_once_its_outcome_is_written() {
     let (mut shard, machine) = shard_with_worker();
-    let ended = vec![task_report(TaskState::Exited, Some(ExitReason::Error))];
-    shard.merge_report(10, &report(1, 2, 5, ended.clone()), ReportPath::Heartbeat);
-    shard.merge_report(10, &report(1, 3, 5, ended), ReportPath::Heartbeat);
+    let exited = vec![task_report(TaskState::Exited, Some(ExitReason::Error))];
+    shard.merge_report(10, &report(1, 2, 5, exited.clone()), ReportPath::Heartbeat);
+    shard.merge_report(10, &report(1, 3, 5, exited), ReportPath::Heartbeat);
     assert!(shard.commands(10, machine).is_empty());
     let ix = shard.jobs.table.find("j-1").expect("known job");
     shard.jobs.table.get_mut(ix).expect("known job").chunks[0].discard_changes();
@@ -20,20 +20,20 @@
     assert!(shard.commands(10, machine).is_empty());
 }
 
-/// Guards against reports that grow until the end of the term: a worker can't forget ended tasks
+/// Guards against reports that grow until the end of the term: a worker can't forget exited tasks
 /// while a start command of the term may still arrive.
 #[test]
 fn an_unconfirmed_start_does_not_let_reports_grow_without_bound() {
     let (mut shard, machine) = shard_with_worker();
     machine_of_mut(&mut shard, machine).unconfirmed_start_term = 5;
-    let ended = |number: usize| TaskReport {
+    let exited = |number: usize| TaskReport {
         task: format!("j-7/{number}"),
         ..task_report(TaskState::Exited, Some(ExitReason::Done))
     };
-    let few = (0..MAX_LISTED_EXITED_TASKS - 1).map(ended).collect();
+    let few = (0..MAX_LISTED_EXITED_TASKS - 1).map(exited).collect();
     shard.merge_report(10, &report(1, 2, 5, few), ReportPath::Heartbeat);
     assert!(!shard.workers.needs_higher_term);
-    let many = (0..MAX_LISTED_EXITED_TASKS).map(ended).collect();
+    let many = (0..MAX_LISTED_EXITED_TASKS).map(exited).collect();
     shard.merge_report(20, &report(1, 3, 5, many), ReportPath::Heartbeat);
     assert!(shard.workers.needs_higher_term);
     shard.term = 6;
