--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -20,7 +20,7 @@
 mod setup;
 mod state_service;
 mod store;
-mod stored;
+mod takeover_setup;
 mod user_answers;
 mod users;
 mod worker;
