--- a/tests/rules/scheduling.rs
+++ b/tests/rules/scheduling.rs
@@ -9,7 +9,7 @@
 #[test]
 fn the_largest_job_is_scheduled_and_cleaned_up() {
     let mut world = World::new(6, 3, 1, vec![(120_000, Fault::Crash { node: LEADER })]);
-    world.reshape(0, 100_000, Some(190_000));
+    world.override_drawn_job(0, 100_000, Some(190_000));
     world.run(190_000);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
     assert!(
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -142,7 +142,7 @@
 
     /// Changes a drawn job to `tasks` tasks of one CPU that may run in any zone, and sets when
     /// its user cancels it.
-    pub fn reshape(&mut self, index: usize, tasks: u32, cancel_at: Option<u64>) {
+    pub fn override_drawn_job(&mut self, index: usize, tasks: u32, cancel_at: Option<u64>) {
         let job = &mut self.jobs[index];
         job.spec.tasks = tasks;
         job.spec.cpus = 1.0;
