--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -1,4 +1,5 @@
-//! The rules of the protocol, checked on each task start and at each step of simulated time.
+//! The rules of the protocol that are checked on each task start, at each cluster step and at the
+//! end of a run. The module `user_answers` has the checks of answers to users.
 
 use super::*;
 
@@ -78,8 +79,8 @@
 
     /// Checks that users get answers about accepted jobs.
     ///
-    /// Once faults are over, no accepted job goes 75 s without an answer. At any time, no
-    /// accepted job goes 90 s without an answer while most others get theirs.
+    /// Once faults are over, no accepted job goes 75 s without an answer, even after its end. At
+    /// any time, no accepted job goes 90 s without an answer while most open jobs get theirs.
     pub fn check_users_answered(&mut self) {
         let now = self.now;
         let known = self
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Checks that no task of a cancelled job is on a machine for longer than `cancel_s` after
-    /// the confirmed cancellation, even if the machine hangs or is unreachable.
+    /// Checks that no task of a cancelled job runs or saves for longer than `CANCEL_DEADLINE_MS`
+    /// after the confirmed cancellation, even if its machine hangs or is unreachable.
     pub fn check_cancelled(&mut self) {
         for (task, machines) in self.task_machines.iter().filter(|(_, machines)| !machines.is_empty()) {
             let job = self.job_index_of_task(task).map(|index| &self.jobs[index]);
@@ -209,7 +210,8 @@
     }
 
     /// Checks that the largest job of each team starts within four minutes after its submission
-    /// or, if that is later, after the end of all faults. Jobs that are cancelled don't count.
+    /// or, if that is later, after the end of all faults. Jobs that their users cancel are
+    /// excluded.
     pub fn check_largest_jobs(&mut self) {
         for team in ["red", "blue"] {
             let of_team = self
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -25,8 +25,8 @@
 }
 
 impl World {
-    /// Returns the worker of a new machine that boots in `boot_ms` and reports to a random
-    /// controller.
+    /// Returns the worker of a new machine that boots in `boot_ms` and sends its first report to a
+    /// random controller.
     pub(super) fn new_worker(
         &mut self,
         name: &str,
@@ -119,7 +119,7 @@
         CloudReply::Provisioned(MachineNames { machines: names })
     }
 
-    /// Draws the boot time of a machine; some machines never come up during a run.
+    /// Draws the boot time of a machine in milliseconds; some machines never come up during a run.
     fn draw_boot_ms(&mut self) -> u64 {
         let slow = self.now < self.ongoing_faults.slow_boots_until;
         if self.rng.random_bool(if slow { 0.3 } else { 0.05 }) {
--- a/tests/rules/world/direct_commands.rs
+++ b/tests/rules/world/direct_commands.rs
@@ -42,8 +42,8 @@
         self.schedule(self.now + arrival_delay, arrival);
     }
 
-    /// Delivers direct commands at once or seconds late, while their answer is lost: the
-    /// controller sees a timeout in either case.
+    /// Delivers direct commands after 5 ms or seconds late. Their answer is lost in both cases, so
+    /// that the controller sees a timeout.
     fn delay_commands(&mut self, caller: Caller, machine: String, commands: DirectCommands) {
         self.schedule_worker_reply(caller, COMMAND_TIMEOUT_MS, WorkerReply::Unanswered);
         let arrival_delay = if self.rng.random_bool(0.5) {
--- a/tests/rules/world/event_dispatch.rs
+++ b/tests/rules/world/event_dispatch.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    /// Executes a due event, or postpones it if it is an input of a frozen controller.
+    /// Executes a due event, or postpones it if it is an input to a frozen controller.
     pub(super) fn dispatch(&mut self, event: ScheduledEvent) {
         if let ScheduledEvent::Tick(node)
         | ScheduledEvent::Input { node, .. }
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Executes an event of a controller. Events for an earlier run of it are dropped.
+    /// Executes an event of a controller. Inputs and outputs of an earlier run of it are dropped.
     fn dispatch_to_controller(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::DelayedOutput {
--- a/tests/rules/world/fault_injection.rs
+++ b/tests/rules/world/fault_injection.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Ends a controller and schedules its restart.
+    /// Ends a controller and schedules its restart after `downtime_ms`.
     pub(super) fn crash(&mut self, node: usize, downtime_ms: u64) {
         self.nodes[node].controller = None;
         self.nodes[node].incarnation = 0;
@@ -149,8 +149,8 @@
 
     /// Makes a machine hang for `ms`, but no longer than until its lease expires.
     ///
-    /// Its tasks end later by the time that it hangs. A machine that hangs already or whose
-    /// lease has expired is left as it is.
+    /// The ends of its tasks are postponed by the duration of the hang. A machine that hangs
+    /// already or whose lease has expired is left as it is.
     pub fn hang(&mut self, name: &str, ms: u64) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(name) {
--- a/tests/rules/world/heartbeat_reports.rs
+++ b/tests/rules/world/heartbeat_reports.rs
@@ -1,4 +1,4 @@
-//! The steps of simulated time, and the heartbeat reports that workers send.
+//! The cluster steps, and the heartbeat reports that workers send in them.
 
 use super::*;
 
@@ -10,8 +10,8 @@
 const RETRY_MS: u64 = 1_000;
 
 impl World {
-    /// Executes a step of simulated time: health checks, the rules, the state service and the
-    /// workers.
+    /// Executes a cluster step: health checks once a second, the checks of the rules, invalid
+    /// requests, the leases and watches of the state service, and the workers.
     pub(super) fn step_cluster(&mut self) {
         if self.now % 1_000 < 100 {
             self.check_health();
@@ -47,8 +47,9 @@
         }
     }
 
-    /// Advances a worker that is up and doesn't hang: reclaims its machine, expires its lease,
-    /// ends its tasks, times out its report and sends the next one, as each falls due.
+    /// Advances a worker that is up: reclaims its machine if that is due. Unless the machine hangs,
+    /// expires the lease, starts and ends tasks, times out the report in flight and sends the next
+    /// one, as each falls due.
     fn advance_worker(&mut self, name: String) {
         let (now, nodes) = (self.now, self.nodes.len());
         let Some(worker) = self.workers.get_mut(&name).filter(|worker| worker.is_up(now)) else {
@@ -96,7 +97,7 @@
         Some((id, Box::new(worker.build_report())))
     }
 
-    /// Sends a report, possibly late or with a duplicate that arrives much later.
+    /// Sends a report, possibly late, and possibly a copy that arrives 1 to 90 s late.
     fn send_report(&mut self, machine: String, id: u64, report: Box<Report>) {
         let (now, worker) = (self.now, &self.workers[&machine]);
         let (node, south) = (worker.node, worker.zone == "south");
@@ -104,7 +105,7 @@
             .cut_until
             .max(self.nodes[node].worker_cut_until)
             .max(self.partitioned_until(node, south));
-        // During a partition, reports are held back and arrive after its end.
+        // During a cut or a partition, reports are held back and arrive 500 ms after its end.
         let delay = if now < cut {
             cut - now + 500
         } else {
@@ -133,7 +134,7 @@
 }
 
 impl Worker {
-    /// Directs the next report to the next controller, after `RETRY_MS`.
+    /// Directs the next report to the next controller and schedules it after `RETRY_MS`.
     pub fn try_next_controller(&mut self, now: u64, nodes: usize) {
         self.node = (self.node + 1) % nodes;
         self.next_report_at = now + RETRY_MS;
--- a/tests/rules/world/machines.rs
+++ b/tests/rules/world/machines.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    /// Ends a machine and all tasks on it.
+    /// Terminates a machine and removes all tasks on it.
     pub(super) fn terminate_machine(&mut self, name: &str) {
         if let Some(worker) = self.workers.get_mut(name) {
             worker.terminated = true;
@@ -14,7 +14,8 @@
         }
     }
 
-    /// Returns a function from task names to run times in milliseconds.
+    /// Returns a function from task names to run times in milliseconds. For tasks of jobs that
+    /// always fail, it returns [`worker::ALWAYS_FAILS_MS`].
     pub(super) fn run_time_fn(&self) -> impl Fn(&str) -> u64 + use<> {
         let (factor, always_failing_jobs) = (self.run_time_factor, self.always_failing_jobs.clone());
         move |task: &str| {
@@ -26,7 +27,8 @@
         }
     }
 
-    /// Delivers direct commands to a worker and returns its reply.
+    /// Delivers direct commands to a worker and returns its reply. Commands that are already under
+    /// way reach any machine that is up, even one that has become unreachable or hangs.
     pub(super) fn deliver_direct_commands(&mut self, machine: &str, commands: &DirectCommands) -> WorkerReply {
         let (now, run_ms) = (self.now, self.run_time_fn());
         let Some(worker) = self.workers.get_mut(machine).filter(|worker| worker.is_up(now)) else {
@@ -44,7 +46,8 @@
         }
     }
 
-    /// Delivers the answer to a report to the worker, if it still waits for it.
+    /// Delivers the answer to a report to the worker, unless the worker no longer waits for it or
+    /// is unreachable.
     pub(super) fn handle_report_answer(&mut self, machine: &str, id: u64, answer: &Answer) {
         let (now, run_ms, nodes) = (self.now, self.run_time_fn(), self.nodes.len());
         let Some(worker) = self.workers.get_mut(machine).filter(|worker| worker.is_up(now)) else {
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -4,7 +4,7 @@
 //! The network delays, loses and holds back messages, and tests inject further faults. All
 //! random choices come from one generator that the test seeds, so a run can be repeated.
 //! The rules of the protocol are checked on every task start, every answer to a user and
-//! every step of simulated time; broken rules are collected in [`World::violations`].
+//! every cluster step (100 ms); broken rules are collected in [`World::violations`].
 //! Unless another unit is given, times are milliseconds of simulated time.
 
 mod checks;
@@ -49,13 +49,17 @@
 pub const LEASE_MS: u64 = 20_000;
 /// How long after a confirmed cancellation tasks of the job may still be on machines.
 pub const CANCEL_DEADLINE_MS: u64 = 40_000;
-/// The controller that [`Fault::SouthIsolated`] cuts off together with the zone `south`.
+/// The index of the controller that [`Fault::SouthIsolated`] cuts off together with the zone
+/// `south`.
 const SOUTH_NODE: usize = 1;
-/// How long an accepted job may go without an answer to its user once all faults are over.
+/// How long an accepted job, ended or not, may go without an answer to its user once all faults
+/// are over.
 const MAX_UNANSWERED_MS: u64 = 75_000;
-/// How long a job may wait while a machine has room for one of its tasks.
+/// How long a job may wait while a machine has room for one of its tasks, once all faults are
+/// over.
 const MAX_STARVATION_MS: u64 = 90_000;
-/// How long the largest job of a team may take to start its first task.
+/// How long the largest job of a team may take to start its first task after its submission or,
+/// if that is later, the end of all faults.
 const LARGEST_JOB_START_MS: u64 = 240_000;
 /// The default CPU limit of each team.
 const TEAM_CPUS: f64 = 24.0;
@@ -66,6 +70,7 @@
     controller: Option<Controller>,
     /// Identifies one run of the process; 0 while it is down.
     incarnation: u64,
+    /// Its node name: `n` and its index.
     name: String,
     /// Milliseconds added to its monotonic clock, so that the clocks of controllers differ.
     clock_offset: u64,
@@ -79,11 +84,11 @@
     worker_cut_until: u64,
     /// Until when the state service answers its requests with 503.
     store_refuses_until: u64,
-    /// Until when its reads of the state service get no answer.
+    /// Until when its reads and watches of the state service get no answer.
     store_reads_lost_until: u64,
     /// Until when the process is suspended.
     frozen_until: u64,
-    /// Inputs that it still processes before the freeze takes effect.
+    /// The number of inputs that it still processes before the freeze takes effect.
     inputs_before_freeze: u32,
     /// The result of the last health check by the load balancer.
     healthy: bool,
@@ -100,13 +105,13 @@
     cloud_outage_until: u64,
     /// Until when controllers can't exchange messages.
     peer_messages_dropped_until: u64,
-    /// Until when copies of reports are delivered late.
+    /// Until when copies of some reports are made, which arrive late.
     duplicate_reports_until: u64,
     /// Until when some transactions get no answer and are applied late.
     delayed_transactions_until: u64,
-    /// Until when direct commands or their answers are delayed.
+    /// Until when half of the direct commands get no answer and some of these arrive late.
     delayed_commands_until: u64,
-    /// Until when jobs are cancelled at the moment their last task ends.
+    /// Until when half of the jobs are cancelled just after their last task ends.
     cancel_at_end_until: u64,
     /// Until when users send invalid requests.
     invalid_requests_until: u64,
@@ -150,7 +155,8 @@
     last_request: u64,
     /// The id of the last heartbeat report.
     last_report: u64,
-    /// Since when most accepted jobs have had recent answers; `None` while they have not.
+    /// Since when most open jobs have had an answer within the last 10 s; `None` while they have
+    /// not.
     most_answered_since: Option<u64>,
     /// The machines that each task is running or saving on; empty after it has ended.
     task_machines: BTreeMap<String, BTreeSet<String>>,
@@ -160,8 +166,8 @@
     pub violations: Vec<String>,
     /// The number of task starts.
     pub starts: u64,
-    /// The number of task runs that ended early: failed, stopped, or lost with a worker's lease
-    /// or agent.
+    /// The number of task runs that ended early: failed, stopped, or lost when the worker's lease
+    /// expired or its agent restarted. Runs that end with their machine are not counted.
     pub lost_tasks: u64,
     /// The number of task starts of jobs that always fail.
     pub always_failing_starts: u64,
@@ -170,12 +176,12 @@
     /// The longest time in milliseconds that a task stayed on a machine after the confirmed
     /// cancellation of its job.
     pub longest_run_after_cancel_ms: u64,
-    /// When all injected faults and their late messages are over.
+    /// When all injected faults count as over; see [`Fault::duration_ms`].
     pub faults_end_at: u64,
     /// Counts of what controllers have sent.
     pub sent: SentCounts,
-    /// The number of machines that the cloud has in each zone, for spot and on-demand
-    /// machines each.
+    /// The number of machines that the cloud has for each combination of zone and spot or
+    /// on-demand.
     capacity: usize,
     /// A factor on the run time of every task.
     pub run_time_factor: u64,
@@ -236,7 +242,7 @@
         self.scheduled_events.insert(self.last_sequence, event);
     }
 
-    /// Draws the delay of one message; one in a hundred is slow.
+    /// Draws the delay of one message in milliseconds; one in a hundred is slow.
     fn draw_network_delay_ms(&mut self) -> u64 {
         if self.rng.random_bool(0.01) {
             self.rng.random_range(50..400)
@@ -263,7 +269,7 @@
     /// Lets a controller process one input and sends its outputs.
     ///
     /// While the controller is frozen, its outputs are delayed until it resumes, except answers
-    /// to users, whose requests have timed out by then.
+    /// to users, which are dropped.
     fn step_controller(&mut self, node: usize, input: Input) {
         let (now, state) = (self.now, &mut self.nodes[node]);
         let clock = Now {
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -54,6 +54,10 @@
         }
     }
 
+    /// Sends an answer to the user, worker or load balancer whose request it answers.
+    ///
+    /// The answer to a report is lost while the controller and the machine can't reach each other.
+    /// The result of a health check takes effect without a delay.
     fn send_answer(&mut self, node: usize, request: u64, answer: Answer) {
         let delay = self.draw_network_delay_ms();
         if let Some(PendingRequest::Report { .. }) = self.pending_requests.get(&(node, request)) {
@@ -83,6 +87,7 @@
         }
     }
 
+    /// Sends a message to another controller; it is lost while the two can't reach each other.
     fn send_to_peer(&mut self, node: usize, to: &str, message: &Message) {
         self.sent.messages += 1;
         let Some(to) = self.nodes.iter().position(|other| other.name == to) else {
@@ -111,6 +116,8 @@
         );
     }
 
+    /// Sends a request to the cloud. In one of fifty cases the reply is lost, and the request
+    /// arrives up to 15 s late.
     fn send_to_cloud(&mut self, caller: Caller, request: CloudRequest) {
         let delay = self.rng.random_range(50..300);
         let lost = self.rng.random_bool(0.02);
@@ -161,7 +168,7 @@
     }
 
     /// Returns until when a controller can't reach the machines of the zone `south` (`south` is
-    /// true) or of the zone `north`.
+    /// true) or of the zone `north`, because the zone `south` is isolated.
     pub(super) fn partitioned_until(&self, node: usize, south: bool) -> u64 {
         if (node == SOUTH_NODE) == south {
             0
--- a/tests/rules/world/scheduled_event.rs
+++ b/tests/rules/world/scheduled_event.rs
@@ -2,11 +2,14 @@
 
 use super::*;
 
-/// The controller and its run that made a call, and the number of the call.
+/// Identifies a call to the state service, the cloud or a worker, for its reply.
 #[derive(Clone, Copy)]
 pub(super) struct Caller {
+    /// The index of the controller that made the call.
     pub node: usize,
+    /// The run of the controller that made the call; later runs don't get the reply.
     pub incarnation: u64,
+    /// The number that the controller gave the call.
     pub call: u64,
 }
 
@@ -49,7 +52,7 @@
     },
     /// The answer to a heartbeat report reaches the worker.
     ReportAnswered { machine: String, id: u64, answer: Answer },
-    /// A step of simulated time for machines, services and checks, every 100 ms.
+    /// A cluster step: every 100 ms, it advances the services and workers and runs the checks.
     ClusterStep,
     /// The periodic request of a job's user.
     UserTurn(usize),
--- a/tests/rules/world/setup.rs
+++ b/tests/rules/world/setup.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// The settings of every controller, before its name, peers and limits are filled in.
+/// The settings of every controller, before its name, its peers and the teams' CPU limit are filled
+/// in.
 const SETTINGS: &str = include_str!("../../support/settings.toml");
 
 impl World {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Starts a controller with a new incarnation number.
+    /// Starts a controller with a random incarnation number.
     pub(super) fn restart(&mut self, node: usize) {
         let incarnation = self.rng.random::<u32>() as u64 + 1;
         let name = self.nodes[node].name.clone();
--- a/tests/rules/world/state_service.rs
+++ b/tests/rules/world/state_service.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// How long a controller waits for the answer to a request.
+/// How long a controller waits for the answer to a request that is lost.
 const STORE_TIMEOUT_MS: u64 = 2_000;
 
 /// A watch that is answered at the next change, or at `until` if nothing changes.
@@ -40,7 +40,7 @@
 
     /// Lets a request of a disconnected controller time out.
     ///
-    /// Half of the transactions are still applied after the connection is back.
+    /// Half of the transactions are still applied, up to 3 s after the connection is back.
     fn hold_until_reconnected(&mut self, caller: Caller, cut: u64, request: StoreRequest) {
         if matches!(request, StoreRequest::Transact(_)) && self.rng.random_bool(0.5) {
             let arrival_at = cut + self.rng.random_range(0..3_000);
@@ -115,8 +115,8 @@
         self.watches.push(OpenWatch { until, caller, request });
     }
 
-    /// Answers open watches that have changes or whose wait is over, unless their controller is
-    /// cut off.
+    /// Answers open watches that have changes or whose wait is over. Those of a controller that is
+    /// cut off, refused or loses its reads stay open until the fault is over.
     pub(super) fn answer_watches(&mut self) {
         if self.now < self.ongoing_faults.store_outage_until {
             return;
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -9,7 +9,7 @@
 pub struct Store {
     /// Value, version and lease of each key; the key is deleted when its lease expires.
     entries: BTreeMap<String, (serde_json::Value, u64, Option<u64>)>,
-    /// The number of the last change.
+    /// The revision of the last change. Each transaction and each expired key increments it.
     pub revision: u64,
     /// All changes so far, oldest first.
     log: Vec<WatchEvent>,
@@ -55,6 +55,7 @@
         }
     }
 
+    /// Deletes a key, if it exists, at the current revision.
     fn delete(&mut self, key: &str) {
         if self.entries.remove(key).is_some() {
             self.log.push(WatchEvent {
@@ -147,7 +148,8 @@
         assert!(bytes <= 64 * 1024, "a transaction of {bytes} bytes");
     }
 
-    /// Applies all changes of a transaction if all its conditions hold, and none otherwise.
+    /// Applies all changes of a transaction if all its conditions hold and its leases have not
+    /// expired, and none otherwise.
     fn transact(&mut self, transaction: &Transaction) -> StoreReply {
         Store::check_size(transaction);
         for change in &transaction.changes {
@@ -177,6 +179,7 @@
         }
     }
 
+    /// Applies the changes of a transaction at the current revision.
     fn apply(&mut self, changes: &[Change]) {
         for change in changes {
             match change {
--- a/tests/rules/world/takeover_setup.rs
+++ b/tests/rules/world/takeover_setup.rs
@@ -1,5 +1,5 @@
-//! The setup of a cluster with work in progress: keys in the state service, machines with tasks
-//! on them, and users who know the states of their jobs.
+//! The setup of a cluster that a former leader left with work in progress: keys in the state
+//! service, machines with tasks on them, and users who know the states of their jobs.
 
 use super::worker::WorkerTask;
 use super::*;
@@ -53,7 +53,8 @@
 
     /// Adds a task that was done before the run.
     ///
-    /// `machine` is a machine that still reports the exited attempt, and the attempt's number.
+    /// `machine` is the machine that still reports the exited attempt, if any, and the attempt's
+    /// number.
     pub fn add_done(&mut self, task: &str, machine: Option<(&str, u64)>) {
         self.done_tasks.insert(task.into());
         let Some((machine, attempt)) = machine else {
--- a/tests/rules/world/user_answers.rs
+++ b/tests/rules/world/user_answers.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// During [`Fault::CancelAtEnd`], makes the users of half of the jobs cancel them when their
-    /// last task ends.
+    /// During [`Fault::CancelAtEnd`], makes the users of half of the jobs cancel them within 600 ms
+    /// after their last task ends. Called when a task ends, before it is recorded as done.
     pub(super) fn maybe_cancel_at_end(&mut self, task: &str) {
         let Some(index) = self
             .job_index_of_task(task)
@@ -98,7 +98,7 @@
     }
 
     /// During [`Fault::InvalidRequests`], repeats a submission, cancels a job that is done, or
-    /// submits a job that no controller may accept.
+    /// submits a job that no controller may accept. Called at every cluster step.
     pub(super) fn send_invalid_requests(&mut self) {
         if self.now >= self.ongoing_faults.invalid_requests_until || self.jobs.is_empty() {
             return;
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -38,10 +38,11 @@
     pub submit_at: u64,
     /// From when its user asks for its cancellation, if ever.
     pub cancel_at: Option<u64>,
+    /// The state that its user knows.
     pub known_state: KnownState,
     /// When an answer last changed `known_state`.
     pub known_since: u64,
-    /// When a request about it was last answered with its state.
+    /// When a request about it was last answered with its state; 0 before the first answer.
     pub(super) last_answered_at: u64,
     /// The controller that its user has an open connection to.
     pub(super) node: Option<usize>,
@@ -54,7 +55,7 @@
 }
 
 impl World {
-    /// Draws a job of one to eight tasks that is submitted within the first 90 s.
+    /// Draws a job of one to eight tasks that is submitted 2 to 90 s after the start of the run.
     pub(super) fn draw_job(&mut self, index: usize) -> UserJob {
         let rng = &mut self.rng;
         let tasks = rng.random_range(1..9);
@@ -154,7 +155,7 @@
 
     /// Sends the next request of a job's user: a submission, a poll or a cancellation.
     ///
-    /// The request is lost if the controller is isolated, down or frozen.
+    /// Nothing is sent if the controller is isolated, down or frozen.
     pub(super) fn send_user_request(&mut self, index: usize) {
         let (kind, user_request) = self.next_request_of_user(index);
         let node = self.connect_user(index);
@@ -168,7 +169,7 @@
         self.step_controller(node, Input::User { request, user_request });
     }
 
-    /// Returns the next request of a job's user.
+    /// Returns the next request of a job's user. One poll in twenty asks about an unknown job.
     fn next_request_of_user(&mut self, index: usize) -> (RequestKind, UserRequest) {
         let job = &mut self.jobs[index];
         let id = job.spec.id.clone();
@@ -180,7 +181,7 @@
             job.cancel_asked = true;
             return (RequestKind::Cancel, UserRequest::Cancel(id));
         }
-        // Some polls ask about a job that nobody submitted.
+        // Nobody submitted a job with this id.
         if self.rng.random_bool(0.05) {
             return (RequestKind::Unknown, UserRequest::Show(format!("j-9{index:05}")));
         }
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -44,7 +44,8 @@
     pub receives_nothing_until: u64,
     /// Until when it reaches no controller.
     pub reaches_no_controller_until: u64,
-    /// Until when it executes and answers nothing.
+    /// Until when it hangs: its tasks make no progress, and it sends no reports and receives no
+    /// answers.
     pub hung_until: u64,
     /// Until when every task that starts on it fails.
     pub fails_tasks_until: u64,
@@ -57,7 +58,7 @@
     /// The time from which its lease counts: the send time of the last acknowledged report, or the
     /// start of the agent epoch.
     pub lease_start: u64,
-    /// When the cloud takes the machine away.
+    /// When the cloud takes the machine away, on-demand machines included.
     pub spot_reclaim_at: Option<u64>,
     /// The controller that it reports to.
     pub node: usize,
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Advances the worker to `now`: an expired lease starts a new agent epoch, and fetching,
-    /// running and saving tasks reach their ends.
+    /// Advances the worker to `now`: an expired lease starts a new agent epoch, and tasks whose
+    /// fetching, running or saving is over change their state.
     pub fn advance(&mut self, now: u64, lease_ms: u64, effects: &mut Vec<Effect>) {
         if now > self.lease_start + lease_ms {
             self.begin_epoch(now, effects);
