--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -31,8 +31,8 @@
     run_to_completion(World::new(seed, nodes, 24, faults.clone()), seed, &faults);
 }
 
-/// Runs until well after the end of all faults. Asserts that no rule is broken, that every job is
-/// done or cancelled, and that tasks were started.
+/// Runs until at least 200 s after the end of all faults. Asserts that no rule is broken, that
+/// every job is done or cancelled, and that tasks were started.
 fn run_to_completion(mut world: World, seed: u64, faults: &[(u64, Fault)]) -> World {
     world.run(world.faults_end_at.max(100_000) + 200_000 * world.run_time_factor.min(3));
     // Asserted before the largest jobs are checked: a violation ends the run early, and jobs that
@@ -63,7 +63,7 @@
     );
 }
 
-/// Draws a fault; one that affects a controller affects the leader in half of the cases.
+/// Draws a fault; one that affects a controller affects the leader in at least half of the cases.
 fn draw_fault(rng: &mut StdRng, nodes: usize) -> Fault {
     let node = if rng.random_bool(0.5) {
         LEADER
--- a/tests/rules/meetings/cancellations.rs
+++ b/tests/rules/meetings/cancellations.rs
@@ -6,7 +6,8 @@
 use rand::Rng;
 
 /// The leader can't reach the state service and the other controllers, but still reaches workers
-/// and users, while jobs are cancelled through the new leader. Their tasks must stop in time.
+/// and users, while jobs are cancelled through the new leader. Then the next leader is cut off in
+/// the same way. The tasks of the cancelled jobs must stop in time.
 #[test]
 fn cancelled_jobs_stop_when_the_old_leader_reaches_only_workers_and_users() {
     run_concurrent_faults(10, |rng| {
@@ -22,7 +23,8 @@
     });
 }
 
-/// Cancellations, polls and repeated submissions arrive when the last task of a job ends.
+/// Users cancel jobs just after their last task ends. Meanwhile they repeat submissions, cancel
+/// jobs that are done and submit invalid jobs.
 #[test]
 fn cancellations_and_repeated_requests_at_the_end_of_a_job() {
     run_concurrent_faults(1, |_| {
--- a/tests/rules/meetings/leader_changes.rs
+++ b/tests/rules/meetings/leader_changes.rs
@@ -34,7 +34,8 @@
 }
 
 /// Jobs of few tasks end, or are cancelled as they end, while leaders crash and late copies of
-/// reports arrive. The run times are long, so that the tasks of a job end far apart.
+/// reports arrive. With even seeds the run times are long, so that the tasks of a job end far
+/// apart.
 #[test]
 fn small_jobs_end_during_leader_changes() {
     run_concurrent_faults(8, |rng| {
@@ -97,9 +98,9 @@
     });
 }
 
-/// Leadership changes through two quick restarts, then all controllers go down, and controller 0
-/// restarts quickly during that time or just after it. Transactions are applied late meanwhile.
-/// With seed 46, a team exceeded its limit.
+/// Five times, leadership changes through two quick restarts, then all controllers go down, and
+/// controller 0 restarts quickly during that time or just after it. Transactions are applied late
+/// meanwhile. With seed 46, a team exceeded its limit.
 #[test]
 fn leadership_moves_back_and_forth_before_all_controllers_go_down() {
     run_concurrent_faults_with_seeds(&[46], 6, |rng| {
--- a/tests/rules/meetings/mod.rs
+++ b/tests/rules/meetings/mod.rs
@@ -20,8 +20,8 @@
 /// Runs the faults that `faults` draws from the generator of each seed, and returns the clusters
 /// after their runs.
 ///
-/// There are 3, 5 or 7 controllers. With even seeds, tasks run `run_time_factor` times as long as
-/// usual.
+/// There are 3, 5 or 7 controllers and 24 random jobs. With even seeds, tasks run `run_time_factor`
+/// times as long as usual.
 fn run_concurrent_faults(run_time_factor: u64, faults: impl Fn(&mut StdRng) -> Faults) -> Vec<World> {
     run_concurrent_faults_with_seeds(&[], run_time_factor, faults)
 }
--- a/tests/rules/meetings/random_faults.rs
+++ b/tests/rules/meetings/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random combinations of all faults that the cluster can simulate.
+//! Random combinations of all simulated faults except slow boots.
 
 use super::run_concurrent_faults_with_seeds;
 use crate::world::Fault;
@@ -20,7 +20,8 @@
     });
 }
 
-/// Draws any fault; one that affects a controller usually affects the leader.
+/// Draws any fault except [`Fault::SlowBoots`]. One that affects a controller usually affects the
+/// leader, and otherwise one of the first three controllers.
 fn draw_any_fault(rng: &mut StdRng) -> Fault {
     let node = if rng.random_bool(0.6) {
         LEADER
--- a/tests/rules/meetings/state_service_outages.rs
+++ b/tests/rules/meetings/state_service_outages.rs
@@ -9,8 +9,9 @@
 ///
 /// The state service refuses only the leader, jobs are cancelled through another controller, and
 /// then an outage begins. It lasts less than a worker's lease, between the lease and `cancel_s`, or
-/// longer. The refusal ends before, during or after the outage. Machines of the cancelled jobs hang
-/// or are unreachable. Afterwards the old leader, another controller or a restarted one leads.
+/// longer. The refusal ends before, during or after the outage. Machines of the cancelled jobs may
+/// hang, and other machines may be unreachable. Afterwards the old leader, another controller or a
+/// restarted one leads.
 #[test]
 fn cancelled_jobs_stop_when_the_store_refuses_the_leader_before_an_outage() {
     run_concurrent_faults(12, |rng| {
@@ -111,7 +112,8 @@
     });
 }
 
-/// Transactions are applied late, after newer ones of the same controller.
+/// Transactions are applied late, after newer ones of the same controller. Meanwhile leaders
+/// restart or are refused by the state service, machines are reclaimed, or jobs are cancelled.
 #[test]
 fn transactions_are_applied_late() {
     run_concurrent_faults(3, |rng| {
--- a/tests/rules/meetings/unreachable_machines.rs
+++ b/tests/rules/meetings/unreachable_machines.rs
@@ -6,8 +6,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// The machines of one zone and one controller are isolated while jobs are cancelled, and a leader
-/// crashes or the state service becomes unavailable.
+/// The machines of one zone and one controller are isolated while jobs are cancelled, and the
+/// leader or the isolated controller crashes or the state service becomes unavailable.
 #[test]
 fn a_zone_is_isolated_with_its_machines_and_a_controller() {
     run_concurrent_faults(8, |rng| {
@@ -52,14 +52,16 @@
     });
 }
 
-/// Direct commands or their answers are delayed for seconds while machines hang and resume.
+/// Direct commands arrive seconds late or get no answer while machines hang and resume, jobs are
+/// cancelled and leaders crash.
 #[test]
 fn commands_are_delayed_while_machines_hang() {
     run_concurrent_faults(6, delayed_commands_and_hangs);
 }
 
-/// Guards against a poll that is answered "running" after the cancellation of the job was reported,
-/// which broke the rule `went_back` in a run of more seeds (see KNOWN-RED.txt).
+/// Guards against an older answer, "running", to a poll after the cancellation of the job was
+/// reported, which broke the rule `went_back` with seed 146 (see
+/// docs/incidents/older-answer-after-cancellation.md).
 #[test]
 fn a_job_reported_as_cancelled_stays_cancelled_while_commands_are_delayed() {
     run_concurrent_faults_of_seed(146, 6, delayed_commands_and_hangs);
@@ -149,8 +151,8 @@
     run_concurrent_faults(2, all_machines_fail_and_the_leader_crashes);
 }
 
-/// Guards against a job that starved beside idle machines in a run of more seeds (see
-/// KNOWN-RED.txt).
+/// Guards against a job that starved beside idle machines because a shortage was counted again
+/// in each round, which happened with seed 193 (see docs/incidents/shortage-counted-anew.md).
 #[test]
 fn no_job_starves_after_all_machines_failed_tasks() {
     run_concurrent_faults_of_seed(193, 2, all_machines_fail_and_the_leader_crashes);
--- a/tests/rules/misconfigured_jobs_and_backfill.rs
+++ b/tests/rules/misconfigured_jobs_and_backfill.rs
@@ -32,7 +32,7 @@
 }
 
 /// Guards against urgent jobs that wait for minutes while best-effort jobs occupy the machines
-/// (inc-98dc, inc-a48c, inc-7b1f).
+/// (inc-98dc, inc-a48c, inc-7b1f, see docs/incidents).
 #[test]
 fn urgent_jobs_start_soon_when_backfill_fills_all_machines() {
     for (seed, faults) in [
@@ -50,7 +50,7 @@
         ),
     ] {
         let mut world = World::new(seed, 3, 0, faults);
-        // Tasks run for up to five minutes, and each machine has room for one or two.
+        // Tasks run for 45 to 315 s, and each machine has room for one or two.
         world.run_time_factor = 30;
         for _ in 0..3 {
             world.submit(2_000, backfill_spec(40));
@@ -73,8 +73,9 @@
     }
 }
 
-/// Guards against misconfigured jobs that cost others machines, room and writes: the machines on which
-/// they fail are kept, and the other jobs finish.
+/// Guards against misconfigured jobs that take machines, capacity and writes to the state service
+/// from other jobs. The machines on which their tasks fail must not be replaced, their restarts
+/// must be limited, and the other jobs must finish.
 #[test]
 fn misconfigured_jobs_do_not_affect_other_jobs_and_machines() {
     for (seed, faults) in [
@@ -101,7 +102,7 @@
             .filter(|job| job.known_state == KnownState::Cancelled)
             .count();
         assert!(cancelled >= 10, "seed {seed}: {cancelled} cancelled");
-        // Ten jobs of eight tasks fail for 85 s, one task at a time and with growing delays.
+        // Ten jobs of eight tasks fail for up to 85 s, one task at a time and with growing delays.
         assert!(
             world.always_failing_starts < 400,
             "seed {seed}: {} failures",
--- a/tests/rules/rule_checks.rs
+++ b/tests/rules/rule_checks.rs
@@ -126,7 +126,7 @@
     world.now += 1;
     world.check_starvation();
     assert!(violates(&world, "waiting"));
-    // Not reported if the team is at its limit or no machine is suitable.
+    // Not reported if a task would exceed the team's limit or no machine is suitable.
     for (cpus, zone) in [(25.0, None), (1.0, Some("east".to_string()))] {
         let mut world = world_with_accepted_job(2);
         world.jobs[0].spec.cpus = cpus;
--- a/tests/rules/scheduling.rs
+++ b/tests/rules/scheduling.rs
@@ -4,8 +4,9 @@
 use crate::world::{Fault, KnownState, World};
 use sumacbend::wire::Priority;
 
-/// The simulated state service fails on values and transactions that exceed the protocol's limits,
-/// so this test shows that the largest job stays within them.
+/// Guards against a job whose stored state exceeds the protocol's limits on values and
+/// transactions. The simulated state service panics on those, also while a new leader takes over
+/// the job.
 #[test]
 fn the_largest_job_is_scheduled_and_cleaned_up() {
     let mut world = World::new(6, 3, 1, vec![(120_000, Fault::Crash { node: LEADER })]);
--- a/tests/rules/single_faults.rs
+++ b/tests/rules/single_faults.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_leader_reaches_only_the_store() {
+fn the_leader_is_cut_from_other_controllers_and_workers() {
     run_with_faults(
         4,
         vec![
@@ -159,8 +159,8 @@
         let mut faults = Vec::new();
         for at in (10_000..100_000).step_by(7_000) {
             faults.push((at, Fault::QuickRestart { node: LEADER }));
-            // While the others request the lease, claim the shard, read the stored state and send the
-            // first commands.
+            // While the others request the lease, claim the shard, read the stored state and send
+            // the first commands.
             for (node, after) in [(0, 60), (1, 4_020), (2, 4_060), (3, 4_150), (4, 4_400)] {
                 faults.push((at + after + seed * 3, Fault::QuickRestart { node }));
             }
