--- a/src/persistence/next_transaction.rs
+++ b/src/persistence/next_transaction.rs
@@ -16,7 +16,8 @@
     /// Maximum number of changes, from the limits of the state service.
     pub total: usize,
     /// Number of changes up to which deferrable changes are added. It keeps deferrable changes
-    /// from using the write rate that the next starts of tasks need.
+    /// from using the write rate that the next starts of tasks need. It must be at least 1, or a
+    /// clean-up could be removed from the queue without being added.
     pub deferrable_cutoff: usize,
 }
 
@@ -57,7 +58,8 @@
         Some(transaction)
     }
 
-    /// Adds the changes that tasks or users wait for.
+    /// Adds the changes that tasks or users wait for, and the removals of answered machine
+    /// requests.
     fn add_urgent(&mut self, now: Millis, context: &mut WriteContext<'_>, draft: &mut Draft<'_>) {
         self.add_finished_jobs(context, draft);
         add_urgent_groups(context, draft);
@@ -76,12 +78,13 @@
     ) {
         let urgent = draft.builder.len();
         let max_changes = limits.total.min(limits.deferrable_cutoff.max(urgent));
-        // Clean-ups come first and get up to half of the cutoff, so that they are never starved.
+        // Clean-ups come first, so that other deferrable changes never starve them, and get at
+        // most half of the cutoff, so that they leave space for these.
         let max_with_clean_ups = urgent + limits.deferrable_cutoff.div_ceil(2);
         draft.builder.limit_changes(max_changes.min(max_with_clean_ups));
         self.add_clean_ups(context, draft);
         draft.builder.limit_changes(max_changes);
-        self.add_changed_chunks(now, context, draft);
+        self.add_deferrable_chunks(now, context, draft);
         add_all_groups(context, draft);
     }
 }
--- a/src/workers/attempt.rs
+++ b/src/workers/attempt.rs
@@ -15,8 +15,7 @@
     Done,
     /// The task failed.
     Error,
-    /// The worker refused to start the attempt, or reported no exit reason that this version
-    /// knows.
+    /// The worker refused to start the attempt, or gave no exit reason or an unknown one.
     Refused,
     /// The worker stopped the attempt on command.
     Stopped,
@@ -137,11 +136,12 @@
     /// State of the attempt in the machine's newest report; `None` if that report does not
     /// list it.
     pub observed_state: Option<TaskState>,
-    /// When a report first listed the attempt as running; `None` while it is not listed.
+    /// When a report first listed the attempt as running; `None` before that, and again once a
+    /// report no longer lists the attempt.
     pub running_since: Option<Millis>,
     /// When a start command was last sent, in the answer to a report or directly.
     pub start_sent_at: Option<Millis>,
-    /// Whether the answer to the machine's last report contained a start command.
+    /// Whether a start command was due in the answer to the machine's last report.
     pub start_in_last_answer: bool,
     /// Seconds that the task may take to save its progress, if the attempt is to stop; `None`
     /// while it is wanted.
@@ -173,7 +173,7 @@
     }
 
     /// Whether the attempt should be started: its record is written, the newest report does
-    /// not list it, and it has not been asked to stop.
+    /// not list it, and it is not to stop.
     pub fn is_start_due(&self) -> bool {
         self.record.is_written() && self.observed_state.is_none() && self.stop_grace_s.is_none()
     }
@@ -192,8 +192,9 @@
         self.running_since = None;
     }
 
-    /// Whether no start command sent in the answer to a report can still be carried out.
-    pub(super) fn has_answered_start_expired(&self, now: Millis) -> bool {
+    /// Whether no start command sent in the answer to a report can still be carried out. Direct
+    /// start commands are tracked by the machine.
+    pub(super) fn has_start_in_answer_expired(&self, now: Millis) -> bool {
         self.start_sent_at.is_none_or(|sent| now > sent + ANSWER_LIFETIME_MS)
     }
 
