--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -134,7 +134,7 @@
             machine.relayed_by = relayed_by.map(str::to_owned);
         }
         let commands = match merged {
-            MergeOutcome::Newest(ix) => shard.answer_commands(now, ix),
+            MergeOutcome::Newest(ix) => shard.commands_for_answer(now, ix),
             MergeOutcome::Stale => {
                 if let Some(machine) = shard
                     .workers
--- a/src/controller/shard/reports.rs
+++ b/src/controller/shard/reports.rs
@@ -45,8 +45,8 @@
 
     /// Returns the commands for the answer to a machine's report, and records which effects the
     /// next report must show.
-    pub fn answer_commands(&mut self, now: Millis, ix: MachineIx) -> Vec<Command> {
-        self.workers.answer_commands(now, self.term, ix, &self.jobs)
+    pub fn commands_for_answer(&mut self, now: Millis, ix: MachineIx) -> Vec<Command> {
+        self.workers.commands_for_answer(now, self.term, ix, &self.jobs)
     }
 
     /// Returns the commands that a machine's worker should receive now, in order, and records when
--- a/src/controller/shard/tests/answers.rs
+++ b/src/controller/shard/tests/answers.rs
@@ -13,7 +13,7 @@
     for seq in 2..12 {
         let now = seq * 5_000;
         shard.merge_report(now, &report(1, seq, 5, Vec::new()), ReportPath::Heartbeat);
-        shard.answer_commands(now, machine);
+        shard.commands_for_answer(now, machine);
         shard.plan_fleet(now);
         let missed_answers = machine_of(&shard, machine).missed_answers;
         assert_eq!(usable(&shard, machine, now), missed_answers < 2);
@@ -45,10 +45,10 @@
 #[test]
 fn a_report_that_shows_the_expected_effect_resets_the_missed_answers() {
     let (mut shard, machine) = shard_with_worker();
-    shard.answer_commands(0, machine);
+    shard.commands_for_answer(0, machine);
     shard.merge_report(5_000, &report(1, 2, 5, Vec::new()), ReportPath::Heartbeat);
     assert_eq!(machine_of(&shard, machine).missed_answers, 1);
-    shard.answer_commands(5_000, machine);
+    shard.commands_for_answer(5_000, machine);
     shard.merge_report(
         10_000,
         &report(1, 3, 5, vec![task_report(TaskState::Fetching, None)]),
@@ -65,10 +65,10 @@
     let (mut shard, machine) = shard_with_worker();
     shard.merge_report(10, &report(2, 1, 5, Vec::new()), ReportPath::Heartbeat);
     assert!(!machine_of(&shard, machine).usable(10));
-    shard.answer_commands(10, machine);
+    shard.commands_for_answer(10, machine);
     assert!(shard.workers.delivery_due.contains(&machine));
     shard.merge_report(20, &report(2, 2, 5, Vec::new()), ReportPath::CommandReply);
     assert!(machine_of(&shard, machine).usable(20));
-    shard.answer_commands(30, machine);
+    shard.commands_for_answer(30, machine);
     assert!(!shard.workers.delivery_due.contains(&machine));
 }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -44,7 +44,7 @@
 
     /// Returns the commands for the answer to a report, and records which effects the next
     /// report must show.
-    pub fn answer_commands(&mut self, now: Millis, term: u64, ix: MachineIx, jobs: &Jobs) -> Vec<Command> {
+    pub fn commands_for_answer(&mut self, now: Millis, term: u64, ix: MachineIx, jobs: &Jobs) -> Vec<Command> {
         let commands = self.commands(now, term, ix, jobs);
         let Some(machine) = self.machines.get_mut(ix) else {
             return commands;
