--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -3,7 +3,6 @@
 use serde::{Deserialize, Serialize};
 
 /// A machine type that the cloud offers.
-// The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Name of the type.
@@ -38,7 +37,6 @@
 }
 
 /// All machine types that the cloud offers. It is also stored in this form.
-// The field is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Catalogue {
     /// The machine types, each with the zones in which it is offered.
@@ -47,7 +45,6 @@
 }
 
 /// A request for new machines.
-// The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRequest {
     /// Name of the request. Repeating a request with the same name creates no further
@@ -69,7 +66,6 @@
 }
 
 /// Names of machines: what a machine request returns and what a deletion asks for.
-// The field is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
     /// The names, as assigned by the cloud.
@@ -78,7 +74,6 @@
 }
 
 /// State of a machine in the machine list.
-// The variants are renamed to the protocol's names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineState {
     /// Booting. The machine may already be up, since the list lags.
@@ -94,7 +89,6 @@
 }
 
 /// A machine in the machine list.
-// The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// Name of the machine.
@@ -120,7 +114,6 @@
 }
 
 /// A page of the machine list, ordered by name. The list lags behind the actual state.
-// The field is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
     /// The machines of this page.
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -4,7 +4,6 @@
 use serde_json::Value;
 
 /// A key with its value and version, as returned by a read.
-// The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// Name of the key.
@@ -19,7 +18,6 @@
 }
 
 /// A page of the keys with a prefix, ordered by name.
-// The revision is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Page {
     /// The keys of this page.
@@ -33,7 +31,6 @@
 }
 
 /// A condition of a transaction: the key has this version (compare-and-swap).
-// The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
     /// Name of the key.
@@ -86,7 +83,6 @@
 }
 
 /// An atomic transaction: all changes are applied if all conditions hold, otherwise none.
-// The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
     /// Conditions that must all hold.
@@ -98,7 +94,6 @@
 }
 
 /// The answer to a transaction.
-// The revision is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransactionAnswer {
     /// Revision of the store after the transaction, which is also the version of every key
@@ -111,7 +106,6 @@
 }
 
 /// A request for a new lease.
-// The field is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// How long the lease lasts without renewal, in milliseconds.
@@ -120,7 +114,6 @@
 }
 
 /// The answer to a request for a new lease.
-// The field is renamed to the protocol's name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseAnswer {
     /// Number that identifies the lease.
@@ -147,7 +140,6 @@
 }
 
 /// The answer to a watch: every change after the requested revision.
-// The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchLog {
     /// Revision of the store up to which the log is complete.
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -3,7 +3,6 @@
 use serde::{Deserialize, Serialize};
 
 /// Priority of a job, from the lowest to the highest.
-// The variants are renamed to the protocol's names of the ranks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
     /// Work that anything else may preempt.
@@ -21,7 +20,6 @@
 }
 
 /// How the tasks of a job relate to one another.
-// The variant is renamed to the protocol's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -3,7 +3,6 @@
 use serde::{Deserialize, Serialize};
 
 /// State of an attempt at a task, as its worker reports it.
-// The variants are renamed to the protocol's names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
     /// Waiting for its image to be fetched.
@@ -24,7 +23,6 @@
 }
 
 /// Why an attempt exited.
-// The variants are renamed to the protocol's names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
     /// Completed; its result is kept.
@@ -51,7 +49,6 @@
 }
 
 /// An attempt at a task, as its worker reports it.
-// The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// Name of the task: the job's id, a slash and the task's number.
@@ -71,7 +68,6 @@
 /// A worker's heartbeat: the state of its machine and of the attempts on it. A worker also
 /// answers direct commands with a report. Of two reports, the one with the larger
 /// (`agent_epoch`, `seq`) is newer.
-// The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Name of the machine.
@@ -108,7 +104,6 @@
 
 /// A command to a worker. Every command may be repeated safely, with one exception: a start
 /// after a forget runs the attempt again.
-// The tag, the variants and their fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "call")]
 pub enum Command {
@@ -148,7 +143,6 @@
 }
 
 /// The answer to a report. It renews the worker's lease.
-// The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportAnswer {
     /// Identifies the leader's term. A worker drops answers with a lower token than the highest
@@ -171,7 +165,6 @@
 }
 
 /// Commands sent directly to a worker. They do not renew its lease.
-// The fields are renamed to the protocol's names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
     /// Identifies the leader's term. The worker refuses the commands if it has received a higher
