--- a/src/cli/logging.rs
+++ b/src/cli/logging.rs
@@ -13,7 +13,7 @@
 /// Starts logging at the level set in the environment.
 pub fn start() -> Result<(), CliError> {
     let level = level_from_env()?;
-    // poem logs every connection that is closed because it was idle.
+    // Lines of the `poem` target below WARN are left out.
     let targets = Targets::new()
         .with_default(level)
         .with_target("poem", LevelFilter::WARN.min(level));
--- a/src/controller/direct_commands.rs
+++ b/src/controller/direct_commands.rs
@@ -141,8 +141,8 @@
         if matches!(reply, WorkerReply::Unanswered | WorkerReply::NotDelivered) {
             machine.delivery.not_before = now + RETRY_MS;
             // Retry once by another route, since the route may have failed rather than the machine.
-            // After that the machine either reports or becomes silent, so further retries are not
-            // urgent. A machine that has not yet been heard from in this term is always retried.
+            // After that the machine either reports or becomes unresponsive, so further retries
+            // are not urgent. A machine that has not yet reported in this term is always retried.
             let is_first_failure = !std::mem::replace(&mut machine.has_unanswered_command, true);
             if is_first_failure || machine.last_report_at.is_none() {
                 machine.relayed_by = None;
--- a/src/controller/leader_timers.rs
+++ b/src/controller/leader_timers.rs
@@ -9,7 +9,8 @@
 /// How often changes are written that no work or user waits for.
 const BACKGROUND_COMMIT_INTERVAL_MS: Millis = 150;
 /// After this long without acting (because of an outage of the state service or a stalled
-/// process) the silence of machines is measured from the time the leader acts again.
+/// process), the time without reports is measured for all machines from when the leader acts
+/// again.
 const INACTIVITY_TIMEOUT_MS: Millis = 1_500;
 /// A leader that has heard from neither a controller nor a worker for this long resigns, so that
 /// another controller can take over.
--- a/src/fleet/boot.rs
+++ b/src/fleet/boot.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A boot is overdue after this many times the boot time of the machine's type. Other
-/// machines are then requested instead, and the late one is used or returned if it comes up
-/// after all.
+/// machines are then requested instead, and the late one is used, or decommissioned when idle,
+/// if it comes up after all.
 const OVERDUE_BOOT_FACTOR: f64 = 1.75;
 
 /// The numbers of machines of one offer that are not known to have come up yet.
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether planning is due. If so, the planning interval starts anew.
+    /// Whether planning is due. If so, the planning interval restarts.
     pub fn start_planning(&mut self, now: Millis) -> bool {
         let is_due = now >= self.planned_at + PLANNING_INTERVAL_MS;
         if is_due {
--- a/src/fleet/provision.rs
+++ b/src/fleet/provision.rs
@@ -1,5 +1,5 @@
 //! Scaling decisions: requests the cheapest machines for forecast tasks that do not fit on
-//! the existing ones, and selects idle machines to be returned.
+//! the existing ones, and selects idle machines to be decommissioned.
 
 use super::demand::CapacityNeed;
 use super::offers::{OfferSearch, PurchaseScope};
@@ -28,7 +28,7 @@
 
 impl Fleet {
     /// Packs the forecast tasks onto the existing and requested machines, requests machines
-    /// for the tasks that do not fit, and selects idle machines to be returned.
+    /// for the tasks that do not fit, and selects idle machines to be decommissioned.
     pub(crate) fn plan_scaling(&mut self, context: &FleetContext<'_>, needs: &[CapacityNeed]) -> ScalingPlan {
         let mut machines = self.planned_machines(context);
         let purchases = self.choose_purchases(context, needs, &mut machines);
--- a/src/placement/machine_view/ranking.rs
+++ b/src/placement/machine_view/ranking.rs
@@ -8,8 +8,8 @@
 
 /// How well a slot suits a job, by Pheromone's Algorithm 1. Slots with the image cached come
 /// first; then spot machines, since they are cheap, the smallest machine type and the fullest
-/// machine, so that other machines become idle and are returned. Among equal slots, the one
-/// with the lowest index wins.
+/// machine, so that other machines become idle and are decommissioned. Among equal slots, the
+/// one with the lowest index wins.
 #[derive(Clone, Copy, Debug)]
 pub struct Score {
     image: ImageState,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -90,8 +90,8 @@
     preempt_wait_s: 0.5 in 0.0..=3600.0;
     /// Longest run time in seconds that a task may lose by being preempted.
     preempt_lost_s: 15.0 in 0.0..=3600.0;
-    /// Seconds that a spot machine may stay idle before it is returned. On-demand machines are
-    /// returned sooner.
+    /// Seconds that a spot machine may stay idle before it is decommissioned. On-demand
+    /// machines are decommissioned sooner.
     idle_return_s: 40.0 in 0.0..=3600.0;
     /// Capacity kept in addition to the mean demand of the forecast, as a share of it.
     headroom: 0.25 in 0.0..=4.0;
--- a/src/runtime/peer_links/tests.rs
+++ b/src/runtime/peer_links/tests.rs
@@ -44,10 +44,10 @@
 async fn a_link_without_acknowledgements_is_dialled_again() {
     let (listener, address) = listen().await;
     dial_with_heartbeats(address);
-    let (silent, _) = listener.accept().await.expect("the first link");
+    let (unanswered_link, _) = listener.accept().await.expect("the first link");
     let again = timeout(TEST_TIMEOUT, listener.accept()).await;
     assert!(again.expect("dialled again").is_ok());
-    drop(silent);
+    drop(unanswered_link);
 }
 
 /// Guards against a live link being redialled: the receiver acknowledges heartbeats, and the
--- a/src/workers/cloud_listing.rs
+++ b/src/workers/cloud_listing.rs
@@ -1,7 +1,7 @@
 //! Tracks whether the cloud's machine lists name a machine. A list comes in pages, so a
 //! machine is known to be missing only after the last page.
 
-/// What the last complete list said about a machine.
+/// Whether the last complete list named a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum LastList {
     /// No list has named the machine yet. Lists lag behind the creation of machines.
